--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -19,7 +19,7 @@
   EndpointListReader lists;
   try {
     for (std::size_t at = 0; at < body.size(); at += step)
-      lists.feed(std::string_view(body).substr(at, step), [](InstanceList) {});
+      lists.feed(std::string_view(body).substr(at, step), [](EndpointListUpdate) {});
   } catch (const InvalidInput&) {
   }
   return 0;
--- a/include/stonebay/load_balancer.hpp
+++ b/include/stonebay/load_balancer.hpp
@@ -74,19 +74,20 @@
   LoadReports reports = LoadReports::None;
   std::vector<ReportField> reportFields;  ///< order of the values in a report
   bool positionsInResponses = false;      ///< every response carries a position
-  bool sessionTokensCarried =
+  bool requestsCarrySessionToken =
       false;  ///< session reads carry the age of their last write; else it is remembered here
   bool synchronousReplication = false;  ///< a write is answered only once a replica has it
   bool healthChecksAllowed = false;
-  bool cancellationAllowed = false;    ///< attempts may be cancelled
-  bool hedgingAllowed = false;         ///< a read may go to several endpoints at once
-  bool retryAfterAllowed = false;      ///< a rejection may say when to come back
-  bool gossipAllowed = false;          ///< proxies may tell one another what they know
-  bool removedEndpointsServe = false;  ///< only draining forbids new requests, removal from the list does not
-  int maxAttempts = 1;                 ///< attempts for one request
-  int proxyCount = 1;                  ///< proxies in front of the same endpoints, this one included
-  Duration staleReadWait{};            ///< StaleReadPolicy::Wait: how long an endpoint waits to catch up
-  TimePoint positionEpoch{};           ///< positions in responses and reports count from here
+  bool cancellationAllowed = false;  ///< attempts may be cancelled
+  bool hedgingAllowed = false;       ///< a read may go to several endpoints at once
+  bool retryAfterAllowed = false;    ///< a rejection may say when to come back
+  bool gossipAllowed = false;        ///< proxies may tell one another what they know
+  bool removedEndpointsAcceptRequests =
+      false;                  ///< only draining forbids new requests, removal from the list does not
+  int maxAttempts = 1;        ///< attempts for one request
+  int proxyCount = 1;         ///< proxies in front of the same endpoints, this one included
+  Duration staleReadWait{};   ///< StaleReadPolicy::Wait: how long an endpoint waits to catch up
+  TimePoint positionEpoch{};  ///< positions in responses and reports count from here
   Duration maxRetryAfter{};
   Duration drainGracePeriod{};
   Duration slowStartWindow{};  ///< how long an endpoint warms up after its start
@@ -95,11 +96,13 @@
   Duration timeStep{};         ///< resolution of the caller's clock
   double initialCapacity = 1;  ///< of an endpoint that has just started, as a share of a warm one's
   double overloadFactor = 1;   ///< multiple of its capacity at which a warming endpoint fails
-  double totalServedGoal = 1;  ///< weight in the goal of the share of all priority weight that is served
-  double worstClassGoal = 0;   ///< weight in the goal of the share that is served of the worst-served class
+  double totalServedGoalWeight =
+      1;  ///< weight in the goal of the share of all priority weight that is served
+  double worstClassGoalWeight =
+      0;  ///< weight in the goal of the share that is served of the worst-served class
 };
 
-enum class Lifecycle { Gone, Ready, Draining };
+enum class Lifecycle { Removed, Ready, Draining };
 
 /// One entry of an endpoint list.
 struct EndpointUpdate {
@@ -120,9 +123,10 @@
   RequestId id = 0;
   int classIndex = 0;  ///< into Settings::classes; anything else is rejected
   GroupId group = 0;
-  std::uint64_t session = 0;    ///< 0: none
-  float sessionTokenAgeMs = 0;  ///< Settings::sessionTokensCarried: age of the session's last commit; 0: none
-  TimePoint deadline{};         ///< the client leaves then
+  std::uint64_t session = 0;  ///< 0: none
+  float sessionTokenAgeMs =
+      0;                 ///< Settings::requestsCarrySessionToken: age of the session's last commit; 0: none
+  TimePoint deadline{};  ///< the client leaves then
 };
 
 /// How an attempt ended. NotSent: no byte of it went out. TooStale: the endpoint's data is too old for it.
@@ -138,8 +142,8 @@
   EndpointId endpoint = 0;
   AttemptStatus status = AttemptStatus::Ok;
   Duration latency{};
-  bool requestClosed = false;  ///< the client has its final response
-  Role role = Role::Unknown;   ///< that the endpoint gave itself with its answer
+  bool requestFinished = false;  ///< the client has its final response
+  Role role = Role::Unknown;     ///< that the endpoint gave itself with its answer
   std::optional<TimePoint>
       position;               ///< that came with the answer: the endpoint has applied all commits up to here
   std::vector<float> report;  ///< values in the order of Settings::reportFields; may be empty
@@ -180,8 +184,8 @@
 enum class EndReason {
   UnknownClass,
   AttemptsExhausted,     ///< Settings::maxAttempts have been made
-  MayNotBeRepeated,      ///< an attempt may have run, and the request is not idempotent
-  TooLate,               ///< it would not be answered in time any more
+  NotRetryable,          ///< an attempt may have run, and the request is not idempotent
+  DeadlineUnreachable,   ///< it would not be answered in time any more
   Overloaded,            ///< the endpoints that could serve it are too loaded for it
   RetryBudgetExhausted,  ///< all proxies' retries together must not feed an overload
 };
@@ -200,7 +204,7 @@
   /// Cancels an attempt; its AttemptOutcome still has to come.
   virtual void cancel(RequestId request, int attempt) = 0;
   /// Answered by LoadBalancer::onTimer, never early.
-  virtual void scheduleTimer(Duration in, TimerToken token) = 0;
+  virtual void scheduleTimer(Duration delay, TimerToken token) = 0;
   /// Answered by LoadBalancer::onHealthCheck.
   virtual void checkHealth(EndpointId endpoint) = 0;
   /// To all other proxies; may be late or lost.
@@ -240,7 +244,7 @@
 
   /// Whether a send that had to wait for its connection may still go out: since it was decided the endpoint
   /// may have drained, or its data grown too old. If not, its outcome is AttemptStatus::NotSent.
-  bool isStillEligible(TimePoint now, RequestId id, EndpointId to);
+  bool isStillEligible(TimePoint now, RequestId id, EndpointId endpoint);
   /// Removes the endpoints that have been gone and quiet for long, and names them: their ids may be dropped.
   std::vector<EndpointId> removeDeparted(TimePoint now);
   /// Positions in later responses and reports count from here.
--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -22,7 +22,7 @@
   const char* const path = std::getenv("NODE_CONFIG");
   if (!path) throw InvalidInput("variable NODE_CONFIG is not set, and no command is given; see --help");
   blockSignals();
-  return serve(readConfig(path), [path] { return readConfig(path, KnownEndpoints::Skip); });
+  return serve(readConfig(path), [path] { return readConfig(path, InitialEndpoints::Skip); });
 }
 
 // Prints every error on a line of its own, so that one round of corrections is enough.
@@ -32,7 +32,7 @@
     std::printf(
         "%s: good; %zu classes, %zu members known at the start, %zu client connections, %zu to data "
         "servers\n",
-        path.c_str(), config.classes.size(), config.knownEndpoints.instances.size(),
+        path.c_str(), config.classes.size(), config.initialEndpoints.instances.size(),
         config.maxClientConnections, config.maxServerConnections);
     return 0;
   } catch (const InvalidSettings& e) {
--- a/src/app/members.cpp
+++ b/src/app/members.cpp
@@ -101,7 +101,7 @@
  public:
   explicit ListRecorder(event_base* base) : base_(base) {}
 
-  void onEndpointList(InstanceList /*list*/) override {
+  void onEndpointList(EndpointListUpdate /*list*/) override {
     received_ = true;
     event_base_loopbreak(base_);
   }
@@ -131,7 +131,7 @@
 // The endpoints of the configuration, which discovery has not confirmed.
 MembersView configuredMembers(const Config& config, const Clock& clock) {
   EndpointTracker known;
-  known.onSnapshot(clock.now(), config.knownEndpoints.instances);
+  known.onSnapshot(clock.now(), config.initialEndpoints.instances);
   known.takeUpdate(clock.now());
   MembersView view{known.view(clock.now()), {}, clock.now()};
   view.members.lastUpdateAt.reset();
@@ -175,7 +175,7 @@
   EndpointFeed feed(base.get(), clock, recorder, trackerPolicy(config));
   const std::unique_ptr<DiscoverySource> source = openDiscoverySource(base.get(), clock, feed, config);
   if (config.source == Source::Fixed) {
-    feed.onSnapshot(config.knownEndpoints.instances, true);
+    feed.onSnapshot(config.initialEndpoints.instances, true);
   } else {
     source->watch(0);
     awaitList(base.get(), options.waitSeconds);
--- a/src/app/statistics_log.cpp
+++ b/src/app/statistics_log.cpp
@@ -25,7 +25,7 @@
 StatisticsLog::~StatisticsLog() { write(); }
 
 void StatisticsLog::write() {
-  const LoopFigures loop = dispatcher_.takeLoopFigures();
+  const LoopStatistics loop = dispatcher_.takeLoopStatistics();
   logEvent(LogLevel::Info, "statistics",
            {{"passes", loop.passes},
             {"stalls", loop.stalls},
--- a/src/balancer/admission_control.cpp
+++ b/src/balancer/admission_control.cpp
@@ -56,9 +56,9 @@
   }
   const std::size_t own = index(classIndex);
   double gain = settings.classes[own].priorityWeight;
-  if (offeredWeight > 0) gain = settings.totalServedGoal * gain / offeredWeight;
+  if (offeredWeight > 0) gain = settings.totalServedGoalWeight * gain / offeredWeight;
   if (own == worst && demand_[own].offered > 0 && offered > static_cast<double>(kLatencyWindowSize))
-    gain += settings.worstClassGoal / demand_[own].offered;
+    gain += settings.worstClassGoalWeight / demand_[own].offered;
   return gain / std::max(latencies_.baselineLatency(classIndex), 1.0);
 }
 
--- a/src/balancer/consistency.cpp
+++ b/src/balancer/consistency.cpp
@@ -31,7 +31,7 @@
   if (consistency == Consistency::Strong) pending.requiredCommit = context_.now;
   if (consistency != Consistency::ReadYourWrites) return;
   const Request& request = pending.request;
-  if (!context_.settings.sessionTokensCarried) {
+  if (!context_.settings.requestsCarrySessionToken) {
     const TimePoint evicted = table_.group(request.group).evictedCommit;
     pending.requiredCommit = commits_.find(request.session).value_or(evicted);
   } else if (request.sessionTokenAgeMs > 0) {
@@ -44,7 +44,7 @@
 }
 
 void ConsistencyPolicy::recordCommit(const PendingRequest& pending, const AttemptOutcome& outcome) {
-  if (context_.settings.sessionTokensCarried || !context_.isWrite(pending)) return;
+  if (context_.settings.requestsCarrySessionToken || !context_.isWrite(pending)) return;
   if (pending.request.session == 0) return;
   commits_.record(pending.request.session, outcome.position.value_or(context_.now));
   if (commits_.size() > kMaxRememberedSessions) evictSessions();
@@ -53,7 +53,7 @@
 void ConsistencyPolicy::shiftCommits(Duration shift) {
   commits_.shiftAll(shift);
   for (auto& [id, group] : table_.groups())
-    if (group.evictedCommit != never) group.evictedCommit += shift;
+    if (group.evictedCommit != kNever) group.evictedCommit += shift;
 }
 
 // Forgetting must not make a read stale: one commit stands for all.
@@ -63,7 +63,7 @@
 }
 
 bool isKnownStale(const Endpoint& endpoint, TimePoint required) {
-  return required != never && !endpoint.isPrimary() && endpoint.position < required;
+  return required != kNever && !endpoint.isPrimary() && endpoint.position < required;
 }
 
 std::optional<double> ConsistencyPolicy::freshnessProbability(const Endpoint& endpoint,
--- a/src/balancer/consistency.hpp
+++ b/src/balancer/consistency.hpp
@@ -8,7 +8,7 @@
 
 namespace stonebay::balancer {
 
-/// Whether the endpoint's known position falls short of the required one; `never`: any position will do.
+/// Whether the endpoint's known position falls short of the required one; `kNever`: any position will do.
 bool isKnownStale(const Endpoint& endpoint, TimePoint required);
 
 /// Owns the commits of sessions that do not carry them themselves.
@@ -16,7 +16,7 @@
  public:
   ConsistencyPolicy(const Context& context, EndpointTable& table);
 
-  /// The instant that an endpoint's data must reach if the request is sent now; never: any data will do.
+  /// The instant that an endpoint's data must reach if the request is sent now; kNever: any data will do.
   TimePoint requiredPosition(const PendingRequest& pending) const;
   void setRequiredCommit(PendingRequest& pending);
   void recordCommit(const PendingRequest& pending, const AttemptOutcome& outcome);
--- a/src/balancer/core.cpp
+++ b/src/balancer/core.cpp
@@ -117,12 +117,12 @@
   if (endpoint && gossip_.observeGossip(*endpoint, message)) serveWaiting(*endpoint->replicaGroup);
 }
 
-bool LoadBalancer::Core::isStillEligible(RequestId id, EndpointId to) {
+bool LoadBalancer::Core::isStillEligible(RequestId id, EndpointId endpoint) {
   const PendingRequest* const pending = findPending(id);
-  const Endpoint* const endpoint = table_.find(to);
-  if (!pending || !endpoint || !table_.isRoutable(*endpoint)) return false;
+  const Endpoint* const found = table_.find(endpoint);
+  if (!pending || !found || !table_.isRoutable(*found)) return false;
   const TimePoint required = consistency_.requiredPosition(*pending);
-  return consistency_.freshnessProbability(*endpoint, required).has_value();
+  return consistency_.freshnessProbability(*found, required).has_value();
 }
 
 // ---- requests --------------------------------------------------------------------------------------------
@@ -134,7 +134,7 @@
 void LoadBalancer::Core::advance(PendingRequest& pending) {
   if (pending.outstandingAttempts > 0) return;
   if (const std::optional<EndReason> reason = retries_.reasonToStop(pending)) return giveUp(pending, *reason);
-  if (admission_.isTooLate(pending)) return giveUp(pending, EndReason::TooLate);
+  if (admission_.isTooLate(pending)) return giveUp(pending, EndReason::DeadlineUnreachable);
   const Route route = context_.isWrite(pending) ? writes_.route(pending) : reads_.route(pending);
   switch (route.action) {
     case Route::Action::Send:
@@ -237,7 +237,7 @@
 
 void LoadBalancer::Core::settle(PendingRequest& pending, const AttemptOutcome& outcome) {
   balancer::RetryPolicy::recordOutcome(pending, outcome);
-  if (outcome.requestClosed || outcome.status == AttemptStatus::Ok) {
+  if (outcome.requestFinished || outcome.status == AttemptStatus::Ok) {
     admission_.recordResponse(pending, outcome.status);
     return close(pending);
   }
--- a/src/balancer/core.hpp
+++ b/src/balancer/core.hpp
@@ -30,7 +30,7 @@
   void onHealthCheck(const HealthCheckResult& result);
   void onTimer(TimerToken token);
   void onGossip(const GossipMessage& message);
-  bool isStillEligible(RequestId id, EndpointId to);
+  bool isStillEligible(RequestId id, EndpointId endpoint);
   std::vector<EndpointId> removeDeparted() { return table_.removeDeparted(); }
   void shiftUnixTimes(Duration shift) {
     table_.shiftUnixTimes(shift);
--- a/src/balancer/endpoint_table.cpp
+++ b/src/balancer/endpoint_table.cpp
@@ -13,8 +13,8 @@
 
 bool EndpointTable::isRoutable(const Endpoint& endpoint) const {
   if (endpoint.info.state == Lifecycle::Ready) return true;
-  const bool removed = endpoint.info.state == Lifecycle::Gone && !endpoint.drainingObserved;
-  return removed && context_.settings.removedEndpointsServe;
+  const bool removed = endpoint.info.state == Lifecycle::Removed && !endpoint.drainingObserved;
+  return removed && context_.settings.removedEndpointsAcceptRequests;
 }
 
 Endpoint* EndpointTable::routablePrimary(const ReplicaGroup& group) {
@@ -30,7 +30,7 @@
 
 bool EndpointTable::hasFreshLoadReport(const Endpoint& endpoint) const {
   const TimePoint reportedAt = endpoint.load.reportedAt;
-  return reportedAt != never && context_.now - reportedAt < kMaxLoadReportAge;
+  return reportedAt != kNever && context_.now - reportedAt < kMaxLoadReportAge;
 }
 
 void EndpointTable::observeRole(Endpoint& endpoint, Role role, TimePoint observedAt) {
@@ -89,15 +89,15 @@
   std::unordered_set<EndpointId> listed;
   for (const EndpointUpdate& update : updates) listed.insert(update.id);
   for (auto& [id, endpoint] : endpoints_) {
-    if (listed.count(id) == 0) endpoint.info.state = Lifecycle::Gone;
-    if (endpoint.info.state != Lifecycle::Gone) continue;
+    if (listed.count(id) == 0) endpoint.info.state = Lifecycle::Removed;
+    if (endpoint.info.state != Lifecycle::Removed) continue;
     setDeparted(endpoint);
     changed.insert(endpoint.info.group);
   }
 }
 
 void EndpointTable::setDeparted(Endpoint& endpoint) {
-  if (endpoint.departedAt != never) return;
+  if (endpoint.departedAt != kNever) return;
   endpoint.departedAt = context_.now;
   departed_.insert(endpoint.info.id);
 }
@@ -116,10 +116,10 @@
     const TimePoint startedAt = std::min(update.started, context_.now);
     if (wasKnown) observeRole(endpoint, Role::Unknown, std::max(endpoint.roleObservedAt, startedAt));
   }
-  if (update.state == Lifecycle::Gone) {
+  if (update.state == Lifecycle::Removed) {
     setDeparted(endpoint);
   } else {
-    endpoint.departedAt = never;
+    endpoint.departedAt = kNever;
     departed_.erase(update.id);
     endpoint.drainingObserved = update.state == Lifecycle::Draining;
   }
@@ -151,25 +151,26 @@
     return;
   }
   const bool listsRoles = context_.settings.listedRole != ListedRole::Never;
-  if (!listsRoles || !endpoint.info.primary || endpoint.roleObservedAt != never || group.primary != 0) return;
+  if (!listsRoles || !endpoint.info.primary || endpoint.roleObservedAt != kNever || group.primary != 0)
+    return;
   group.primary = endpoint.info.id;
   endpoint.roleObservedAt = TimePoint();
 }
 
 void EndpointTable::shiftUnixTimes(Duration shift) {
   for (auto& [id, endpoint] : endpoints_) {
-    if (endpoint.position != never) endpoint.position = std::max(endpoint.position + shift, TimePoint());
+    if (endpoint.position != kNever) endpoint.position = std::max(endpoint.position + shift, TimePoint());
     if (endpoint.info.started != TimePoint())
       endpoint.info.started = std::max(endpoint.info.started + shift, TimePoint(Duration(1)));
     // Evidence of roles is as old as the positions that came with it.
-    if (endpoint.roleObservedAt != never)
+    if (endpoint.roleObservedAt != kNever)
       endpoint.roleObservedAt = std::clamp(endpoint.roleObservedAt + shift, TimePoint(), context_.now);
     endpoint.positionLags.clear();
   }
 }
 
 bool EndpointTable::isExpired(const Endpoint& endpoint) const {
-  if (isRoutable(endpoint) || endpoint.departedAt == never) return false;
+  if (isRoutable(endpoint) || endpoint.departedAt == kNever) return false;
   if (!endpoint.inFlight.empty() || endpoint.healthCheck.pending) return false;
   return context_.now >= endpoint.departedAt + kDepartedRetention;
 }
--- a/src/balancer/gossip_policy.cpp
+++ b/src/balancer/gossip_policy.cpp
@@ -20,7 +20,7 @@
 bool GossipPolicy::mayBroadcast(const Endpoint& endpoint) const {
   if (!context_.settings.gossipAllowed) return false;
   const auto isOver = [&](TimePoint since, Duration pause) {
-    return since == never || context_.now - since >= pause;
+    return since == kNever || context_.now - since >= pause;
   };
   const Duration ownPause = kBroadcastInterval * context_.settings.proxyCount / 2;
   return isOver(endpoint.broadcast.last, kBroadcastInterval) && isOver(endpoint.broadcast.lastOwn, ownPause);
--- a/src/balancer/health_checker.cpp
+++ b/src/balancer/health_checker.cpp
@@ -23,7 +23,7 @@
   const bool isWrite = context_.isWrite(pending);
   if (!loadIsReported_ && !isWrite) return true;
   const Duration maxAge = isWrite ? context_.classOf(pending).latencyObjective : kMaxLoadReportAge;
-  return endpoint.lastResponseAt != never && context_.now - endpoint.lastResponseAt < maxAge;
+  return endpoint.lastResponseAt != kNever && context_.now - endpoint.lastResponseAt < maxAge;
 }
 
 bool HealthChecker::checkBeforeSend(PendingRequest& pending, std::vector<Endpoint*> next) {
@@ -40,7 +40,7 @@
   const Duration interval = loadIsReported_ ? kTickInterval : consistency_.tightestStaleness() / 4;
   for (Endpoint* endpoint : next) {
     const HealthCheck& last = endpoint->healthCheck;
-    const bool isDue = last.sentAt == never || context_.now - last.sentAt >= interval;
+    const bool isDue = last.sentAt == kNever || context_.now - last.sentAt >= interval;
     if (!last.pending && isDue) check(*endpoint);
     if (last.pending) pending.healthChecksSent = true;
   }
--- a/src/balancer/load_balancer.cpp
+++ b/src/balancer/load_balancer.cpp
@@ -23,8 +23,8 @@
 }
 void LoadBalancer::onTimer(TimePoint now, TimerToken token) { core_->at(now).onTimer(token); }
 void LoadBalancer::onGossip(TimePoint now, const GossipMessage& message) { core_->at(now).onGossip(message); }
-bool LoadBalancer::isStillEligible(TimePoint now, RequestId id, EndpointId to) {
-  return core_->at(now).isStillEligible(id, to);
+bool LoadBalancer::isStillEligible(TimePoint now, RequestId id, EndpointId endpoint) {
+  return core_->at(now).isStillEligible(id, endpoint);
 }
 std::vector<EndpointId> LoadBalancer::removeDeparted(TimePoint now) {
   return core_->at(now).removeDeparted();
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -7,7 +7,7 @@
 bool OutlierDetector::isHealthy(const Endpoint& endpoint) const {
   if (endpoint.healthCheck.pending && !healthChecker_.isAwaited(endpoint)) return false;
   const TimePoint until = endpoint.ejection.until;
-  if (until == never) return true;
+  if (until == kNever) return true;
   if (context_.now < until) return false;
   return std::none_of(endpoint.inFlight.begin(), endpoint.inFlight.end(),
                       [&](const InFlightAttempt& attempt) { return attempt.sentAt >= until; });
@@ -70,7 +70,7 @@
   if (endpoint.lastAnswerAt >= attempt.sentAt || context_.now < due) return false;
   const bool canCheck = context_.canCheckHealth();
   const TimePoint until = endpoint.ejection.until;
-  const bool sentBeforeEjection = until != never && attempt.sentAt < until;
+  const bool sentBeforeEjection = until != kNever && attempt.sentAt < until;
   const bool isSilent = endpoint.lastResponseAt < due;
   if (!sentBeforeEjection && !canCheck) eject(endpoint, false);
   if (!sentBeforeEjection && canCheck && isSilent && !endpoint.healthCheck.pending)
--- a/src/balancer/replica_selection.cpp
+++ b/src/balancer/replica_selection.cpp
@@ -42,7 +42,7 @@
     if (!retries_.mayAttempt(pending, endpoint)) continue;
     if (slowStart_.isWithinBudget(endpoint, pending.request.id, costShare)) eligible.push_back(&endpoint);
   }
-  sortByUse(eligible, consistency_.requiredPosition(pending) == never);
+  sortByUse(eligible, consistency_.requiredPosition(pending) == kNever);
   return eligible;
 }
 
@@ -95,7 +95,7 @@
     else
       replicas.push_back(candidate);
   }
-  const bool faultLately = group.lastFaultAt != never && context_.now - group.lastFaultAt < kFaultWindow;
+  const bool faultLately = group.lastFaultAt != kNever && context_.now - group.lastFaultAt < kFaultWindow;
   set.candidates.clear();
   SetBuilder builder(faultLately, set.candidates);
   for (const Candidate& replica : replicas) {
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -43,7 +43,7 @@
 std::optional<EndReason> RetryPolicy::reasonToStop(const PendingRequest& pending) const {
   const bool isRepeatable = context_.classOf(pending).idempotency != Idempotency::NonIdempotent;
   if (isExhausted(pending)) return EndReason::AttemptsExhausted;
-  if (pending.maybeExecuted && !isRepeatable) return EndReason::MayNotBeRepeated;
+  if (pending.maybeExecuted && !isRepeatable) return EndReason::NotRetryable;
   return std::nullopt;
 }
 
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -11,7 +11,7 @@
 namespace stonebay::balancer {
 
 /// An instant that has not come.
-constexpr TimePoint never{Duration(-1)};
+constexpr TimePoint kNever{Duration(-1)};
 
 /// The latency of one attempt.
 struct LatencySample {
@@ -42,7 +42,7 @@
 /// Whether an endpoint is ejected; owned by OutlierDetector.
 struct Ejection {
   int consecutiveFailures = 0;
-  TimePoint until = never;  ///< ejected until then, afterwards one trial request at a time
+  TimePoint until = kNever;  ///< ejected until then, afterwards one trial request at a time
   Duration backoff{};
   bool failingFast = false;  ///< ejected for errors alone: it answers
 };
@@ -50,35 +50,35 @@
 /// The health check of an endpoint; owned by HealthChecker.
 struct HealthCheck {
   bool pending = false;
-  TimePoint sentAt = never;
+  TimePoint sentAt = kNever;
 };
 
 /// The load that an endpoint reported.
 struct ReportedLoad {
   int inFlight = 0;
-  TimePoint reportedAt = never;
+  TimePoint reportedAt = kNever;
 };
 
 /// When the proxies last heard of an endpoint by gossip; owned by GossipPolicy.
 struct BroadcastTimes {
-  TimePoint last = never;     ///< from this proxy or another
-  TimePoint lastOwn = never;  ///< from this one
+  TimePoint last = kNever;     ///< from this proxy or another
+  TimePoint lastOwn = kNever;  ///< from this one
 };
 
 /// A primary and its replicas.
 struct ReplicaGroup {
   std::vector<EndpointId> endpoints;  ///< ascending: the order in which writes look for a primary
   EndpointId primary = 0;             ///< 0: none known
-  TimePoint lastFaultAt = never;
-  TimePoint primaryWantedAt = never;
+  TimePoint lastFaultAt = kNever;
+  TimePoint primaryWantedAt = kNever;
   RequestId discoveryRequest = 0;          ///< the one write that looks for the primary; 0: none
   std::uint64_t discoveryExhaustedIn = 0;  ///< version of the list whose endpoints it has all tried in vain
-  TimePoint evictedCommit = never;  ///< sessions that are no longer remembered may have written until then
+  TimePoint evictedCommit = kNever;  ///< sessions that are no longer remembered may have written until then
   std::vector<RequestId> waiting;
 
   /// Nothing of it has to be kept.
   bool isUnused() const {
-    return endpoints.empty() && waiting.empty() && discoveryRequest == 0 && evictedCommit == never;
+    return endpoints.empty() && waiting.empty() && discoveryRequest == 0 && evictedCommit == kNever;
   }
 };
 
@@ -87,17 +87,17 @@
   EndpointUpdate info;
   ReplicaGroup* replicaGroup = nullptr;  ///< that info names; owned by EndpointTable, which keeps it as long
   bool drainingObserved = false;
-  TimePoint departedAt = never;      ///< when the list first lacked it
-  TimePoint roleObservedAt = never;  ///< when the newest evidence of its role was true
-  TimePoint position = never;        ///< it has applied all commits up to here; a lower bound that only grows
+  TimePoint departedAt = kNever;      ///< when the list first lacked it
+  TimePoint roleObservedAt = kNever;  ///< when the newest evidence of its role was true
+  TimePoint position = kNever;  ///< it has applied all commits up to here; a lower bound that only grows
   FixedWindow<PositionLag, kPositionWindowSize> positionLags;
   LatencyWindow freshSamples;  ///< of attempts that were not known stale
   LatencyWindow staleSamples;  ///< of those that were
   std::vector<InFlightAttempt> inFlight;
-  TimePoint lastUsedAt = never;
-  TimePoint lastAnswerAt = never;          ///< to a request
-  TimePoint lastResponseAt = never;        ///< of any kind: answers to health checks and gossip included
-  TimePoint latestAnsweredSentAt = never;  ///< when the youngest of the answered attempts was sent
+  TimePoint lastUsedAt = kNever;
+  TimePoint lastAnswerAt = kNever;          ///< to a request
+  TimePoint lastResponseAt = kNever;        ///< of any kind: answers to health checks and gossip included
+  TimePoint latestAnsweredSentAt = kNever;  ///< when the youngest of the answered attempts was sent
   Ejection ejection;
   HealthCheck healthCheck;
   ReportedLoad load;
@@ -125,7 +125,7 @@
 struct PendingRequest {
   Request request;
   TimePoint arrivedAt{};
-  TimePoint requiredCommit = never;  ///< ReadYourWrites and Strong: data must reach this
+  TimePoint requiredCommit = kNever;  ///< ReadYourWrites and Strong: data must reach this
   std::vector<Attempt> attempts;
   std::vector<EndpointId> attemptedEndpoints;
   int outstandingAttempts = 0;
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -58,7 +58,7 @@
   std::size_t maxServerConnections = 0;
   std::size_t maxActiveClients = 0;        ///< clients that have sent a request, idle ones included
   std::size_t maxLargeStatementBytes = 0;  ///< sum over statements too long to be read ahead
-  InstanceList knownEndpoints;             ///< at the start, before discovery has answered
+  EndpointListUpdate initialEndpoints;     ///< at the start, before discovery has answered
   Settings settings;
   std::vector<std::string> classes;  ///< names, in the order of settings.classes
   std::vector<std::string> zones;
@@ -89,13 +89,13 @@
   std::vector<ConfigError> errors;  ///< in the order of the lines; not empty
 };
 
-/// Whether Config::knownEndpoints is read. It may hold thousands, and is of use at the start alone.
-enum class KnownEndpoints { Read, Skip };
+/// Whether Config::initialEndpoints is read. It may hold thousands, and is of use at the start alone.
+enum class InitialEndpoints { Read, Skip };
 
 /// Parses the platform's JSON form. Throws InvalidInput, whose message names the key.
-Config parseConfig(const std::string& json, KnownEndpoints known = KnownEndpoints::Read);
+Config parseConfig(const std::string& json, InitialEndpoints initialEndpoints = InitialEndpoints::Read);
 /// The same for a file. Throws InvalidInput also if the file cannot be read.
-Config readConfig(const char* path, KnownEndpoints known = KnownEndpoints::Read);
+Config readConfig(const char* path, InitialEndpoints initialEndpoints = InitialEndpoints::Read);
 
 /// Parses the INI form; `file` is its name for error messages. Throws InvalidSettings.
 Config parseSettings(const std::string& ini, const std::string& file);
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -97,12 +97,12 @@
       endpoint.group = *group;
     else if (!draft_.endpointGroup.empty())
       reader_.addKeyError(section, "group", unknownGroup(draft_.endpointGroup));
-    for (const Instance& other : config_.knownEndpoints.instances)
+    for (const Instance& other : config_.initialEndpoints.instances)
       if (!endpoint.address.none() && other.address == endpoint.address)
         reader_.addKeyError(
             section, "address",
             {"[member " + other.name + "] has this address", "give each member one of its own"});
-    config_.knownEndpoints.instances.push_back(endpoint);
+    config_.initialEndpoints.instances.push_back(endpoint);
   }
 
   // By its name or its number.
@@ -133,7 +133,7 @@
         checkDnsSd();
         break;
       case Source::Fixed:
-        if (config_.knownEndpoints.instances.empty())
+        if (config_.initialEndpoints.instances.empty())
           reader_.addError(lineOfSection("discovery"), "[discovery] source",
                            {"source = fixed needs a [member NAME]", "add one for each data server"});
         break;
@@ -191,7 +191,7 @@
         settings.classes.begin(), settings.classes.end(),
         [](const ClassSettings& each) { return each.consistency == Consistency::ReadYourWrites; });
     if (config_.seed == 0) config_.seed = randomSeed();
-    config_.knownEndpoints.reset = true;
+    config_.initialEndpoints.reset = true;
     deriveLimits(config_, static_cast<std::size_t>(draft_.descriptors), draft_.memory);
   }
 
--- a/src/config/installation_keys.cpp
+++ b/src/config/installation_keys.cpp
@@ -63,7 +63,7 @@
        "Whether the list names the primary: never, as it was at its start, or some seconds late."},
       {"synchronous", ValueKind::Flag, "no", assign(&Settings::synchronousReplication),
        "Whether a write is answered only once a replica has it."},
-      {"gone_still_serves", ValueKind::Flag, "no", assign(&Settings::removedEndpointsServe),
+      {"gone_still_serves", ValueKind::Flag, "no", assign(&Settings::removedEndpointsAcceptRequests),
        "Whether a server that is gone from the list may still be sent work, so that only draining binds. "
        "Leave it at no unless the list is known to lose servers that run."},
   };
@@ -79,7 +79,7 @@
        assign(&Settings::maxRetryAfter),
        "The longest wait that clients keep to."},
       {"session_positions", oneOf(kSessionTokens), "carried",
-       assign(&Settings::sessionTokensCarried, kSessionTokens),
+       assign(&Settings::requestsCarrySessionToken, kSessionTokens),
        "Whether session reads bring the position that they have to see (`after=`), or the proxy remembers "
        "what it served each session."},
   };
@@ -120,12 +120,12 @@
       {"whole",
        {ValueKind::Share, 0, 1},
        "55%",
-       assign(&Settings::totalServedGoal),
+       assign(&Settings::totalServedGoalWeight),
        "The weight of all that is served."},
       {"worst_class",
        {ValueKind::Share, 0, 1},
        "30%",
-       assign(&Settings::worstClassGoal),
+       assign(&Settings::worstClassGoalWeight),
        "The weight of the class that is served worst."},
   };
 }
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -197,7 +197,7 @@
 
 }  // namespace
 
-Config parseConfig(const std::string& json, KnownEndpoints known) {
+Config parseConfig(const std::string& json, InitialEndpoints initialEndpoints) {
   simdjson::dom::parser parser;
   element root;
   if (const auto error = parser.parse(json).get(root))
@@ -209,8 +209,8 @@
   readGossip(root, config);
   config.seed = readSeed(root);
   readLimits(root, config);
-  if (known == KnownEndpoints::Read)
-    config.knownEndpoints = readInstances(jsonField<element>(root, "known", ""), "known.");
+  if (initialEndpoints == InitialEndpoints::Read)
+    config.initialEndpoints = readInstances(jsonField<element>(root, "known", ""), "known.");
   const auto settings = jsonField<element>(root, "settings", "");
   readLoadBalancerSettings(settings, config);
   readNames(settings, config);
@@ -220,12 +220,12 @@
   return config;
 }
 
-Config readConfig(const char* path, KnownEndpoints known) {
+Config readConfig(const char* path, InitialEndpoints initialEndpoints) {
   std::ifstream file(path);
   std::stringstream text;
   text << file.rdbuf();
   if (!file || !text) throw InvalidInput(std::string("file ") + path + " cannot be read");
-  return parseConfig(text.str(), known);
+  return parseConfig(text.str(), initialEndpoints);
 }
 
 }  // namespace stonebay
--- a/src/discovery/endpoint_feed.cpp
+++ b/src/discovery/endpoint_feed.cpp
@@ -23,7 +23,7 @@
             {"started_ms", instance.startedMs}});
 }
 
-void logMembers(const InstanceList& list) {
+void logMembers(const EndpointListUpdate& list) {
   const std::size_t count = std::min(list.instances.size(), kMaxLoggedInstances);
   for (std::size_t i = 0; i < count; ++i) logInstance(list.instances[i]);
 }
@@ -45,7 +45,7 @@
   publishUpdates();
 }
 
-void EndpointFeed::onEndpointList(InstanceList list) {
+void EndpointFeed::onEndpointList(EndpointListUpdate list) {
   logEvent(LogLevel::Info, "list_received",
            {{"generation", list.generation}, {"complete", list.reset}, {"members", list.instances.size()}});
   tracker_.onChange(clock_.now(), std::move(list));
--- a/src/discovery/endpoint_feed.hpp
+++ b/src/discovery/endpoint_feed.hpp
@@ -22,7 +22,7 @@
   /// From a source that delivers complete lists only; see EndpointTracker::onSnapshot.
   void onSnapshot(std::vector<Instance> instances, bool initial);
   /// From a source with generations; see EndpointTracker::onChange.
-  void onEndpointList(InstanceList list) override;
+  void onEndpointList(EndpointListUpdate list) override;
   void onListFailure(const std::string& why) override;
   void onListInput() override { handler_.onListInput(); }
   std::uint64_t generation() const override { return tracker_.generation(); }
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -15,7 +15,7 @@
 Lifecycle parseLifecycle(std::string_view text, const JsonPath& path) {
   if (text == "active") return Lifecycle::Ready;
   if (text == "leaving") return Lifecycle::Draining;
-  if (text == "left") return Lifecycle::Gone;
+  if (text == "left") return Lifecycle::Removed;
   throw InvalidInput("key " + pathText(path) + "lifecycle: unknown value '" + std::string(text) + "'");
 }
 
@@ -36,7 +36,7 @@
   instance.name = std::string(jsonField<std::string_view>(object, "instanceId", path));
   instance.state = parseLifecycle(jsonField<std::string_view>(object, "lifecycle", path), path);
   // An instance that is gone may come with its name alone.
-  const bool optional = instance.state == Lifecycle::Gone;
+  const bool optional = instance.state == Lifecycle::Removed;
   const auto expects = [&](const char* key) { return !optional || object[key].error() == simdjson::SUCCESS; };
   if (expects("hostPort")) instance.address = readAddress(object, path);
   if (expects("zone")) instance.zone = std::string(jsonField<std::string_view>(object, "zone", path));
@@ -71,7 +71,7 @@
       return "active";
     case Lifecycle::Draining:
       return "leaving";
-    case Lifecycle::Gone:
+    case Lifecycle::Removed:
       break;
   }
   return "left";
@@ -89,10 +89,10 @@
   return *address;
 }
 
-InstanceList readInstances(const element& object, const std::string& path) {
+EndpointListUpdate readInstances(const element& object, const std::string& path) {
   const auto generation = jsonField<std::int64_t>(object, "generation", path);
   if (generation < 0) throw InvalidInput("key " + path + "generation: negative");
-  InstanceList list;
+  EndpointListUpdate list;
   list.generation = static_cast<std::uint64_t>(generation);
   list.reset = jsonField<bool>(object, "reset", path);
   const std::string array = path + "instances";
@@ -101,7 +101,7 @@
   return list;
 }
 
-InstanceList parseInstances(std::string_view json) {
+EndpointListUpdate parseEndpointList(std::string_view json) {
   simdjson::dom::parser parser;
   element object;
   if (const auto error = parser.parse(simdjson::padded_string(json)).get(object))
@@ -109,7 +109,7 @@
   return readInstances(object, "");
 }
 
-void EndpointListReader::feed(std::string_view bytes, const std::function<void(InstanceList)>& onList) {
+void EndpointListReader::feed(std::string_view bytes, const std::function<void(EndpointListUpdate)>& onList) {
   for (const char next : bytes) {
     if (depth_ == 0) {
       if (kWhiteSpace.find(next) != std::string_view::npos) continue;
@@ -164,8 +164,8 @@
   needsComma_ = true;
 }
 
-void EndpointListReader::finishList(const std::function<void(InstanceList)>& onList) {
-  InstanceList list = readInstances(parse(object_), "");
+void EndpointListReader::finishList(const std::function<void(EndpointListUpdate)>& onList) {
+  EndpointListUpdate list = readInstances(parse(object_), "");
   list.instances = std::move(instances_);
   object_.clear();
   instances_.clear();
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -34,7 +34,7 @@
 inline bool operator!=(const Instance& left, const Instance& right) { return !(left == right); }
 
 /// A complete list or a change of one.
-struct InstanceList {
+struct EndpointListUpdate {
   std::uint64_t generation = 0;
   bool reset = false;  ///< the list is complete: an instance that it lacks is gone
   std::vector<Instance> instances;
@@ -44,7 +44,7 @@
 class EndpointListHandler {
  public:
   virtual ~EndpointListHandler() = default;
-  virtual void onEndpointList(InstanceList) = 0;
+  virtual void onEndpointList(EndpointListUpdate) = 0;
   virtual void onListFailure(const std::string& why) = 0;
   /// Bytes of a list have arrived; they are parsed after this call.
   virtual void onListInput() {}
@@ -61,7 +61,7 @@
 Address parseAddress(std::string_view text, const std::string& key);
 
 /// Parses one list in the registry's JSON form. Throws InvalidInput.
-InstanceList parseInstances(std::string_view json);
+EndpointListUpdate parseEndpointList(std::string_view json);
 
 /// Splits a byte stream into endpoint lists: consecutive JSON objects, separated by white space or by
 /// nothing. The stream may be cut anywhere. Each instance is parsed as soon as it is complete, so that the
@@ -70,7 +70,7 @@
  public:
   /// Calls `onList` for each list that is complete, in order. Throws InvalidInput; the lists before the fault
   /// have been delivered by then.
-  void feed(std::string_view bytes, const std::function<void(InstanceList)>& onList);
+  void feed(std::string_view bytes, const std::function<void(EndpointListUpdate)>& onList);
 
  private:
   // Open brackets around the elements of the array of instances.
@@ -79,7 +79,7 @@
   bool takeSeparator(char next);
   void append(char next);
   void finishElement();
-  void finishList(const std::function<void(InstanceList)>& onList);
+  void finishList(const std::function<void(EndpointListUpdate)>& onList);
   simdjson::dom::element parse(const std::string& json);
 
   simdjson::dom::parser parser_;
--- a/src/discovery/endpoint_tracker.cpp
+++ b/src/discovery/endpoint_tracker.cpp
@@ -113,7 +113,7 @@
   for (const Instance& instance : instances) applyChange(Time(0), instance);
 }
 
-void EndpointTracker::onChange(Time now, InstanceList list) {
+void EndpointTracker::onChange(Time now, EndpointListUpdate list) {
   sourceHasGenerations_ = true;
   onSourceDelivered(now);
   generation_ = list.generation;
@@ -123,7 +123,7 @@
 }
 
 // What a complete list says that the handler does not know.
-std::vector<Instance> EndpointTracker::changesOf(const InstanceList& list) {
+std::vector<Instance> EndpointTracker::changesOf(const EndpointListUpdate& list) {
   std::vector<Instance> changes;
   std::unordered_set<std::string_view> listed;
   for (const Instance& instance : list.instances) {
@@ -132,12 +132,12 @@
     if (known == entries_.end() || known->second.instance != instance) changes.push_back(instance);
   }
   for (const auto& [name, entry] : entries_)
-    if (listed.count(name) == 0) changes.push_back(withState(entry.instance, Lifecycle::Gone));
+    if (listed.count(name) == 0) changes.push_back(withState(entry.instance, Lifecycle::Removed));
   return changes;
 }
 
 void EndpointTracker::applyChange(Time now, const Instance& instance) {
-  if (instance.state == Lifecycle::Gone) {
+  if (instance.state == Lifecycle::Removed) {
     entries_.erase(instance.name);
     return;
   }
@@ -157,7 +157,7 @@
   const auto end = std::make_move_iterator(changes.end());
   do {
     const auto count = std::min<std::ptrdiff_t>(end - next, kMaxPublishedAtOnce);
-    InstanceList part;
+    EndpointListUpdate part;
     part.generation = generation_;
     part.instances.assign(next, next + count);
     unpublishedLists_.push_back(std::move(part));
@@ -185,9 +185,9 @@
   return deadline;
 }
 
-std::optional<InstanceList> EndpointTracker::takeUpdate(Time now) {
+std::optional<EndpointListUpdate> EndpointTracker::takeUpdate(Time now) {
   if (!unpublishedLists_.empty()) {
-    InstanceList list = std::move(unpublishedLists_.front());
+    EndpointListUpdate list = std::move(unpublishedLists_.front());
     unpublishedLists_.pop_front();
     return list;
   }
@@ -200,7 +200,7 @@
 
   const std::vector<NamedEntry> entries = entriesByPrecedence();
   updateExclusions(entries, now);
-  InstanceList update;
+  EndpointListUpdate update;
   for (const auto& [name, entry] : entries) publish(*name, *entry, now, update.instances);
   if (update.instances.empty() && !completeUpdateDue_) return std::nullopt;
   update.reset = completeUpdateDue_;
@@ -248,7 +248,7 @@
   const bool publishedBefore = !entry.published.name.empty();
   const bool isOtherServer = publishedBefore && !isSameServer(entry.instance, entry.published);
   if (entry.isPublished && (!wanted || isOtherServer)) {
-    changes.push_back(withState(entry.published, Lifecycle::Gone));
+    changes.push_back(withState(entry.published, Lifecycle::Removed));
     entry.isPublished = false;
   }
   if (!wanted) return;
@@ -279,7 +279,7 @@
     if (isExpired(entry, now)) continue;
     Row row{entry.instance, entry.exclusion, entry.penalty.value(policy_.damping, now), entry.withdrawals};
     if (!entry.present) {
-      row.instance.state = Lifecycle::Gone;
+      row.instance.state = Lifecycle::Removed;
       row.exclusion = ExclusionReason::Withdrawn;
     } else if (row.instance.startedMs == 0) {
       row.instance.startedMs = entry.inferredStartMs;
--- a/src/discovery/endpoint_tracker.hpp
+++ b/src/discovery/endpoint_tracker.hpp
@@ -57,7 +57,7 @@
   void onSnapshot(Time now, std::vector<Instance> instances, bool initial = false);
   /// A list or a change of one from a source with generations. Such a source reports start times and
   /// withdrawals itself: its lists are passed on as they are.
-  void onChange(Time now, InstanceList list);
+  void onChange(Time now, EndpointListUpdate list);
   /// The source could not be reached or gave no usable answer.
   void onFailure(Time now, std::string reason);
 
@@ -65,7 +65,7 @@
   void assumePublished(const std::vector<Instance>& instances);
   /// The next update for the handler; nothing when it is up to date. A source's long list comes in parts,
   /// what withdraws endpoints first.
-  std::optional<InstanceList> takeUpdate(Time now);
+  std::optional<EndpointListUpdate> takeUpdate(Time now);
   /// Whether takeUpdate has another part of a list at once.
   bool hasMoreUpdates() const { return !unpublishedLists_.empty(); }
   /// When takeUpdate may have something without any further event.
@@ -115,7 +115,7 @@
 
   bool isExpired(const Entry& entry, Time now) const;
   void onSourceDelivered(Time now);
-  std::vector<Instance> changesOf(const InstanceList& list);
+  std::vector<Instance> changesOf(const EndpointListUpdate& list);
   void applyChange(Time now, const Instance& instance);
   void addUnpublished(std::vector<Instance> changes);
   std::vector<WithdrawnServer> withdrawMissing(Time now, const std::vector<Instance>& instances);
@@ -133,9 +133,9 @@
   std::uint64_t generation_ = 0;
   bool hasList_ = false;
   bool sourceHasGenerations_ = false;
-  std::deque<InstanceList> unpublishedLists_;  // of a source with generations
-  bool completeUpdateDue_ = false;             // the next update is a complete list
-  bool changed_ = false;                       // since the last update
+  std::deque<EndpointListUpdate> unpublishedLists_;  // of a source with generations
+  bool completeUpdateDue_ = false;                   // the next update is a complete list
+  bool changed_ = false;                             // since the last update
   bool expired_ = false;
   std::optional<Time> lastUpdateAt_;
   std::optional<Time> failingSince_;
--- a/src/discovery/json.hpp
+++ b/src/discovery/json.hpp
@@ -32,6 +32,6 @@
 }
 
 /// The endpoint list in `object`; `path` is the prefix of the key names in errors. Throws InvalidInput.
-InstanceList readInstances(const simdjson::dom::element& object, const std::string& path);
+EndpointListUpdate readInstances(const simdjson::dom::element& object, const std::string& path);
 
 }  // namespace stonebay
--- a/src/discovery/registry/registry_watch.cpp
+++ b/src/discovery/registry/registry_watch.cpp
@@ -63,7 +63,7 @@
   }
   if (response_.refused()) return fail(("status " + std::to_string(response_.status())).c_str());
   try {
-    reader_.feed(body, [this](InstanceList list) { handler_.onEndpointList(std::move(list)); });
+    reader_.feed(body, [this](EndpointListUpdate list) { handler_.onEndpointList(std::move(list)); });
   } catch (const InvalidInput& error) {
     return fail(error.what());
   }
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -43,7 +43,7 @@
   endpoints_ = &endpoints;
   watcher_ = &watcher;
   gossip_ = gossip;
-  events_.emplace_back(EndpointListReceived{config_.knownEndpoints});
+  events_.emplace_back(EndpointListReceived{config_.initialEndpoints});
 }
 
 RequestId Dispatcher::submit(ResponseHandler& handler, Request request, ForwardedRequest message) {
@@ -84,7 +84,7 @@
 
 void Dispatcher::onGossip(const gossip::Message& message) { events_.emplace_back(GossipReceived{message}); }
 
-void Dispatcher::onEndpointList(InstanceList list) {
+void Dispatcher::onEndpointList(EndpointListUpdate list) {
   events_.emplace_back(EndpointListReceived{std::move(list)});
 }
 
@@ -179,7 +179,7 @@
     AttemptRecord& record = it->second.attempts[static_cast<std::size_t>(event.attempt)];
     record.endedAt = now_;
     record.status = outcome.status;
-    if (outcome.requestClosed) respond(it, event.result);
+    if (outcome.requestFinished) respond(it, event.result);
   }
   balancer_->onAttemptOutcome(now_, outcome);
 }
@@ -193,7 +193,8 @@
   if (result.invalidStatement)
     logRequestEnd(request, RequestEnd::Failed, "invalid_statement", now_, config_, ids_);
   else if (now_ - request.arrivedAt > latencyObjective)
-    logRequestEnd(request, RequestEnd::Late, "latency_objective_missed", now_, config_, ids_);
+    logRequestEnd(request, RequestEnd::LatencyObjectiveMissed, "latency_objective_missed", now_, config_,
+                  ids_);
 
   if (ResponseHandler* const handler = request.handler) {
     if (result.invalidStatement) {
@@ -253,7 +254,7 @@
   generation_ = event.list.generation;
   std::vector<EndpointUpdate> entries;
   for (const Instance& instance : event.list.instances) {
-    const bool cameAndWent = instance.state == Lifecycle::Gone && !ids_.contains(instance.name);
+    const bool cameAndWent = instance.state == Lifecycle::Removed && !ids_.contains(instance.name);
     if (cameAndWent) continue;
     const EndpointId id = ids_.assign(instance.name);
     entries.push_back(toEndpointUpdate(instance, id, config_.zones));
@@ -266,7 +267,7 @@
 }
 
 // The very first list is the one from the configuration.
-EndpointListKind Dispatcher::listKind(const InstanceList& list) const {
+EndpointListKind Dispatcher::listKind(const EndpointListUpdate& list) const {
   if (!ids_.anyAssigned() && generation_ == 0) return EndpointListKind::Cached;
   return list.reset ? EndpointListKind::Full : EndpointListKind::Delta;
 }
--- a/src/dispatch/dispatcher.hpp
+++ b/src/dispatch/dispatcher.hpp
@@ -63,7 +63,7 @@
   /// The load report has its positions in Unix seconds.
   void onHealthCheck(EndpointId endpoint, bool ok, const std::vector<double>& report);
   void onGossip(const gossip::Message& message);
-  void onEndpointList(InstanceList list) override;
+  void onEndpointList(EndpointListUpdate list) override;
   void onListFailure(const std::string& why) override;
   void onListInput() override { monitor_->onCallback(TimePoint(clock_.now())); }
 
@@ -84,7 +84,7 @@
   std::size_t requestsInFlight() const { return inFlight_.size(); }
   std::size_t endpointCount() const { return ids_.count(); }
   /// Of the passes since the last call.
-  LoopFigures takeLoopFigures() { return monitor_->takeFigures(); }
+  LoopStatistics takeLoopStatistics() { return monitor_->takeStatistics(); }
   const Clock& clock() const { return clock_; }
 
  private:
@@ -103,7 +103,7 @@
 
   void finish(RequestId id, RequestEnd end, EndReason reason, std::function<void(ResponseHandler&)> notify);
   void respond(InFlightRequests::iterator entry, AttemptResult& result);
-  EndpointListKind listKind(const InstanceList& list) const;
+  EndpointListKind listKind(const EndpointListUpdate& list) const;
   void retireUnlisted(const std::vector<EndpointUpdate>& listed);
   /// Corrects the position in a report; drops the report if it is of the future all the same.
   void correctReport(std::vector<double>& report);
@@ -116,7 +116,7 @@
   void reject(RequestId id, Duration retryAfter, EndReason reason) override;
   void fail(RequestId id, EndReason reason) override;
   void cancel(RequestId id, int attempt) override;
-  void scheduleTimer(Duration in, TimerToken token) override;
+  void scheduleTimer(Duration delay, TimerToken token) override;
   void checkHealth(EndpointId endpoint) override;
   void broadcast(const GossipMessage& message) override;
   void pollDiscovery() override;
--- a/src/dispatch/dispatcher_actions.cpp
+++ b/src/dispatch/dispatcher_actions.cpp
@@ -45,7 +45,7 @@
   actions_.emplace_back([this, id, attempt] { endpoints_->cancel(id, attempt); });
 }
 
-void Dispatcher::scheduleTimer(Duration in, TimerToken token) { timers_.schedule(now_ + in, token); }
+void Dispatcher::scheduleTimer(Duration delay, TimerToken token) { timers_.schedule(now_ + delay, token); }
 
 void Dispatcher::checkHealth(EndpointId endpoint) {
   actions_.emplace_back([this, endpoint] { endpoints_->checkHealth(endpoint); });
--- a/src/dispatch/events.hpp
+++ b/src/dispatch/events.hpp
@@ -40,7 +40,7 @@
 };
 
 struct EndpointListReceived {
-  InstanceList list;
+  EndpointListUpdate list;
 };
 
 struct EndpointListFailed {};
--- a/src/dispatch/forwarded_request.hpp
+++ b/src/dispatch/forwarded_request.hpp
@@ -10,8 +10,8 @@
 /// The statement in two parts: the remaining time in milliseconds, which differs for each attempt, goes
 /// between them.
 struct ForwardedRequest {
-  Buffer before;
-  Buffer after;
+  Buffer beforeRemainingTime;
+  Buffer afterRemainingTime;
   std::string id;  ///< as the client gave it, for the log
 };
 
--- a/src/dispatch/loop_monitor.cpp
+++ b/src/dispatch/loop_monitor.cpp
@@ -23,7 +23,7 @@
 void LoopMonitor::onEvents(TimePoint now, std::size_t count) {
   onCallback(now);
   pass_.eventsAt = now;
-  figures_.longestEventQueue = std::max(figures_.longestEventQueue, count);
+  statistics_.longestEventQueue = std::max(statistics_.longestEventQueue, count);
 }
 
 void LoopMonitor::onEvent(const DispatchEvent& event) {
@@ -40,11 +40,11 @@
 void LoopMonitor::onPassEnd(TimePoint now) {
   const TimePoint startedAt = startedAt_.value_or(now);
   const Duration took = now - startedAt;
-  ++figures_.passes;
-  figures_.listEntries += pass_.listEntries;
-  figures_.longestPass = std::max(figures_.longestPass, took);
+  ++statistics_.passes;
+  statistics_.listEntries += pass_.listEntries;
+  statistics_.longestPass = std::max(statistics_.longestPass, took);
   if (took >= kStallThreshold) {
-    ++figures_.stalls;
+    ++statistics_.stalls;
     logStall(startedAt, now);
   }
   startedAt_.reset();
@@ -81,6 +81,6 @@
   return text;
 }
 
-LoopFigures LoopMonitor::takeFigures() { return std::exchange(figures_, LoopFigures()); }
+LoopStatistics LoopMonitor::takeStatistics() { return std::exchange(statistics_, LoopStatistics()); }
 
 }  // namespace stonebay
--- a/src/dispatch/loop_monitor.hpp
+++ b/src/dispatch/loop_monitor.hpp
@@ -14,7 +14,7 @@
 namespace stonebay {
 
 /// What the passes of some span of time add up to.
-struct LoopFigures {
+struct LoopStatistics {
   std::uint64_t passes = 0;
   std::uint64_t stalls = 0;  ///< passes of kStallThreshold or more
   Duration longestPass{};
@@ -43,7 +43,7 @@
   TimePoint earliestArrival(TimePoint now) const;
 
   /// Since the last call.
-  LoopFigures takeFigures();
+  LoopStatistics takeStatistics();
 
  private:
   static constexpr std::size_t kEventKinds = std::variant_size_v<DispatchEvent>;
@@ -63,7 +63,7 @@
   TimePoint lastStartedAt_{};
   TimePoint lastEndedAt_{};
   Pass pass_;
-  LoopFigures figures_;
+  LoopStatistics statistics_;
 };
 
 }  // namespace stonebay
--- a/src/dispatch/request_log.cpp
+++ b/src/dispatch/request_log.cpp
@@ -48,7 +48,7 @@
 
 const char* requestEndName(RequestEnd end) {
   switch (end) {
-    case RequestEnd::Late:
+    case RequestEnd::LatencyObjectiveMissed:
       return "late";
     case RequestEnd::Rejected:
       return "rejected";
@@ -66,9 +66,9 @@
       return "unknown_class";
     case EndReason::AttemptsExhausted:
       return "attempts_exhausted";
-    case EndReason::MayNotBeRepeated:
+    case EndReason::NotRetryable:
       return "may_not_be_repeated";
-    case EndReason::TooLate:
+    case EndReason::DeadlineUnreachable:
       return "too_late";
     case EndReason::Overloaded:
       return "overloaded";
--- a/src/dispatch/request_log.hpp
+++ b/src/dispatch/request_log.hpp
@@ -11,7 +11,7 @@
 namespace stonebay {
 
 /// Ends that a client may complain of, and its own leaving.
-enum class RequestEnd { Late, Rejected, Failed, ClientLeft };
+enum class RequestEnd { LatencyObjectiveMissed, Rejected, Failed, ClientLeft };
 
 /// As the log names it.
 const char* requestEndName(RequestEnd end);
--- a/src/dispatch/translation.cpp
+++ b/src/dispatch/translation.cpp
@@ -18,7 +18,7 @@
   return values;
 }
 
-AttemptOutcome toAttemptOutcome(const AttemptEnded& event, bool requestClosed,
+AttemptOutcome toAttemptOutcome(const AttemptEnded& event, bool requestFinished,
                                 const std::vector<ReportField>& fields, const PositionEpoch& epoch) {
   const AttemptResult& result = event.result;
   AttemptOutcome outcome;
@@ -27,7 +27,7 @@
   outcome.endpoint = event.endpoint;
   // An invalid statement is the client's fault: it is not retried, nor held against the endpoint.
   outcome.status = result.invalidStatement ? AttemptStatus::Cancelled : result.status;
-  outcome.requestClosed = requestClosed || result.invalidStatement || outcome.status == AttemptStatus::Ok;
+  outcome.requestFinished = requestFinished || result.invalidStatement || outcome.status == AttemptStatus::Ok;
   outcome.role = result.role;
   outcome.position = epoch.position(result.positionMs);
   outcome.report = toLoadReport(result.report, fields, epoch);
--- a/src/dispatch/translation.hpp
+++ b/src/dispatch/translation.hpp
@@ -18,8 +18,8 @@
 std::vector<float> toLoadReport(const std::vector<double>& report, const std::vector<ReportField>& fields,
                                 const PositionEpoch& epoch);
 
-/// `requestClosed`: whether the client had its final response before this attempt ended.
-AttemptOutcome toAttemptOutcome(const AttemptEnded& event, bool requestClosed,
+/// `requestFinished`: whether the client had its final response before this attempt ended.
+AttemptOutcome toAttemptOutcome(const AttemptEnded& event, bool requestFinished,
                                 const std::vector<ReportField>& fields, const PositionEpoch& epoch);
 
 HealthCheckResult toHealthCheckResult(const HealthCheckEnded& event, const std::vector<ReportField>& fields,
--- a/src/downstream/pg/client_statement.cpp
+++ b/src/downstream/pg/client_statement.cpp
@@ -76,8 +76,8 @@
   ForwardedRequest forwarded{newBuffer(), std::move(body_), id()};
   if (comment_.deadlineLength > 0) {
     const std::size_t before = length_ - tailLength_ + comment_.deadlineOffset;
-    evbuffer_remove_buffer(forwarded.after.get(), forwarded.before.get(), before);
-    evbuffer_drain(forwarded.after.get(), comment_.deadlineLength);
+    evbuffer_remove_buffer(forwarded.afterRemainingTime.get(), forwarded.beforeRemainingTime.get(), before);
+    evbuffer_drain(forwarded.afterRemainingTime.get(), comment_.deadlineLength);
   }
   return forwarded;
 }
--- a/src/simulator/event_decoder.cpp
+++ b/src/simulator/event_decoder.cpp
@@ -44,7 +44,7 @@
   constexpr std::uint8_t kDraining = 2;
   if (code == kReady) return Lifecycle::Ready;
   if (code == kDraining) return Lifecycle::Draining;
-  return Lifecycle::Gone;
+  return Lifecycle::Removed;
 }
 
 // What a response says of its endpoint: 4 x the position in ms after the epoch, 0 for none, + its role.
@@ -126,7 +126,7 @@
   outcome.endpoint = record.readEndpointId();
   outcome.status = attemptStatus(static_cast<OutcomeCode>(record.read<std::uint16_t>("outcome")));
   outcome.latency = Duration(record.read<std::uint32_t>("latency"));
-  outcome.requestClosed = record.read<std::uint8_t>("closed") != 0;
+  outcome.requestFinished = record.read<std::uint8_t>("closed") != 0;
   const PositionNote note = decodePositionNote(record.read<std::uint32_t>("note"));
   outcome.role = note.role;
   if (note.position) outcome.position = positionEpoch + *note.position;
--- a/src/simulator/proxy_instance.cpp
+++ b/src/simulator/proxy_instance.cpp
@@ -44,9 +44,9 @@
   reply_.put(static_cast<std::uint8_t>(attempt));
 }
 
-void ProxyInstance::scheduleTimer(Duration in, TimerToken token) {
+void ProxyInstance::scheduleTimer(Duration delay, TimerToken token) {
   reply_.beginRecord(ActionCode::ScheduleTimer, number_);
-  reply_.put(static_cast<std::uint32_t>(in.count()));
+  reply_.put(static_cast<std::uint32_t>(delay.count()));
   reply_.put(token.encoded());
 }
 
--- a/src/simulator/proxy_instance.hpp
+++ b/src/simulator/proxy_instance.hpp
@@ -40,7 +40,7 @@
   void reject(RequestId id, Duration retryAfter, EndReason reason) override;
   void fail(RequestId id, EndReason reason) override;
   void cancel(RequestId id, int attempt) override;
-  void scheduleTimer(Duration in, TimerToken token) override;
+  void scheduleTimer(Duration delay, TimerToken token) override;
   void checkHealth(EndpointId endpoint) override;
   void broadcast(const GossipMessage& message) override;
   void pollDiscovery() override;
--- a/src/simulator/settings_parser.cpp
+++ b/src/simulator/settings_parser.cpp
@@ -98,7 +98,7 @@
 
 void readReplication(const SettingsText& text, Settings& settings) {
   settings.positionsInResponses = text.flag("specifics.stamps");
-  settings.sessionTokensCarried = text.choice("specifics.sessionMarks", kSessionTokensCarried);
+  settings.requestsCarrySessionToken = text.choice("specifics.sessionMarks", kSessionTokensCarried);
   settings.synchronousReplication = text.flag("specifics.synchronous");
 }
 
@@ -112,7 +112,7 @@
   settings.cancellationAllowed = text.flag("allowed.cancel");
   settings.hedgingAllowed = text.flag("allowed.parallelTries");
   settings.retryAfterAllowed = text.flag("allowed.retryAfter");
-  settings.removedEndpointsServe = optionalFlag(text, "obligations.droppedStayOpen");
+  settings.removedEndpointsAcceptRequests = optionalFlag(text, "obligations.droppedStayOpen");
   settings.maxAttempts = text.integer("allowed.attemptsCap", 1, kMaxAttempts);
   settings.proxyCount = text.integer("balancers", 1, kMaxProxies);
 }
@@ -132,8 +132,8 @@
 void readCapacityAndGoals(const SettingsText& text, Settings& settings) {
   settings.initialCapacity = text.number("obligations.startCapacity");
   settings.overloadFactor = text.number("obligations.fallMultiple");
-  settings.totalServedGoal = text.number("goal.whole");
-  settings.worstClassGoal = text.number("goal.worstClass");
+  settings.totalServedGoalWeight = text.number("goal.whole");
+  settings.worstClassGoalWeight = text.number("goal.worstClass");
 }
 
 }  // namespace
--- a/src/upstream/pg/upstream_connection.cpp
+++ b/src/upstream/pg/upstream_connection.cpp
@@ -86,12 +86,12 @@
   const ForwardedRequest& message = *request_->message;
   const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(request_->deadline - now);
   const std::string digits = std::to_string(std::max<std::int64_t>(remaining.count(), 1));
-  const std::size_t length =
-      evbuffer_get_length(message.before.get()) + digits.size() + evbuffer_get_length(message.after.get());
+  const std::size_t length = evbuffer_get_length(message.beforeRemainingTime.get()) + digits.size() +
+                             evbuffer_get_length(message.afterRemainingTime.get());
   append(output(), pg::queryHeader(length));
-  evbuffer_add_buffer_reference(output(), message.before.get());
+  evbuffer_add_buffer_reference(output(), message.beforeRemainingTime.get());
   append(output(), digits);
-  evbuffer_add_buffer_reference(output(), message.after.get());
+  evbuffer_add_buffer_reference(output(), message.afterRemainingTime.get());
 }
 
 void UpstreamConnection::startIdleTimer(Duration maxIdleTime) { startTimer(timer_.get(), maxIdleTime); }
--- a/tests/balancer_fixture.cpp
+++ b/tests/balancer_fixture.cpp
@@ -116,7 +116,7 @@
   outcome.attempt = attempt < 0 ? static_cast<int>(sent.size()) - 1 : attempt;
   outcome.endpoint = sent[static_cast<std::size_t>(outcome.attempt)].endpoint;
   outcome.status = status;
-  outcome.requestClosed = status == AttemptStatus::Ok;
+  outcome.requestFinished = status == AttemptStatus::Ok;
   outcome.role = evidence.role;
   outcome.position = evidence.position;
   balancer.onAttemptOutcome(now, outcome);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -36,9 +36,9 @@
 
 TEST(ConfigTest, ReloadSkipsTheListOfKnownEndpoints) {
   const std::string json = test::configuration({}, 8500, {1, 2, 3});
-  EXPECT_EQ(parseConfig(json).knownEndpoints.instances.size(), 3u);
-  const Config reloaded = parseConfig(json, KnownEndpoints::Skip);
-  EXPECT_TRUE(reloaded.knownEndpoints.instances.empty());
+  EXPECT_EQ(parseConfig(json).initialEndpoints.instances.size(), 3u);
+  const Config reloaded = parseConfig(json, InitialEndpoints::Skip);
+  EXPECT_TRUE(reloaded.initialEndpoints.instances.empty());
   EXPECT_EQ(reloaded.discovery, parseConfig(json).discovery);
 }
 
@@ -48,9 +48,9 @@
   EXPECT_EQ(fromIni.discovery.text(), "127.0.0.1:8500");
   EXPECT_EQ(fromIni.seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(fromIni.classes, (std::vector<std::string>{"tour-read", "handset-write"}));
-  ASSERT_EQ(fromIni.knownEndpoints.instances.size(), 2u);
-  EXPECT_EQ(fromIni.knownEndpoints.instances[0].group, 3u);
-  EXPECT_EQ(fromIni.knownEndpoints.instances[1].address.text(), "[::1]:6002");
+  ASSERT_EQ(fromIni.initialEndpoints.instances.size(), 2u);
+  EXPECT_EQ(fromIni.initialEndpoints.instances[0].group, 3u);
+  EXPECT_EQ(fromIni.initialEndpoints.instances[1].address.text(), "[::1]:6002");
   const auto& write = fromIni.settings.classes[1];
   EXPECT_EQ(write.consistency, Consistency::Write);
   EXPECT_EQ(write.deduplicationWindow, microseconds(2000000));
@@ -81,10 +81,10 @@
   EXPECT_EQ(ini.timeStep, json.timeStep);
   EXPECT_EQ(ini.initialCapacity, json.initialCapacity);
   EXPECT_EQ(ini.overloadFactor, json.overloadFactor);
-  EXPECT_EQ(ini.totalServedGoal, json.totalServedGoal);
-  EXPECT_EQ(ini.worstClassGoal, json.worstClassGoal);
+  EXPECT_EQ(ini.totalServedGoalWeight, json.totalServedGoalWeight);
+  EXPECT_EQ(ini.worstClassGoalWeight, json.worstClassGoalWeight);
   EXPECT_EQ(ini.positionsInResponses, json.positionsInResponses);
-  EXPECT_EQ(ini.sessionTokensCarried, json.sessionTokensCarried);
+  EXPECT_EQ(ini.requestsCarrySessionToken, json.requestsCarrySessionToken);
   EXPECT_EQ(ini.healthChecksAllowed && ini.cancellationAllowed && ini.retryAfterAllowed,
             json.healthChecksAllowed && json.cancellationAllowed && json.retryAfterAllowed);
 }
--- a/tests/consistency_test.cpp
+++ b/tests/consistency_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using balancer::ConsistencyPolicy;
-using balancer::never;
+using balancer::kNever;
 using balancer::PendingRequest;
 
 constexpr GroupId kGroup = 7;
@@ -53,7 +53,7 @@
   EXPECT_EQ(consistency.requiredPosition(own), context.now - 20ms);
   PendingRequest other = requestOf(kReadYourWritesRead, 6);
   consistency.setRequiredCommit(other);
-  EXPECT_EQ(consistency.requiredPosition(other), never);
+  EXPECT_EQ(consistency.requiredPosition(other), kNever);
 }
 
 TEST_F(ConsistencyTest, ReadsAndRequestsWithoutASessionCommitNothing) {
@@ -62,13 +62,13 @@
   consistency.recordCommit(requestOf(kWrite), committedAt(context.now));
   PendingRequest read = requestOf(kReadYourWritesRead, 5);
   consistency.setRequiredCommit(read);
-  EXPECT_EQ(consistency.requiredPosition(read), never);
+  EXPECT_EQ(consistency.requiredPosition(read), kNever);
 }
 
 TEST_F(ConsistencyTest, PrimaryAndProvenReplicasAreFresh) {
   ConsistencyPolicy consistency(context, table);
   const TimePoint required = context.now - 100ms;
-  EXPECT_EQ(consistency.freshnessProbability(table.at(1), never), 1);
+  EXPECT_EQ(consistency.freshnessProbability(table.at(1), kNever), 1);
   table.observePosition(table.at(1), context.now - 50ms);
   EXPECT_EQ(consistency.freshnessProbability(table.at(1), required), 1);
   table.observeRole(table.at(2), Role::Primary, context.now);
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -189,7 +189,7 @@
   dispatcher.onConnected(id, 0);
   dispatcher.processEvents();
   EXPECT_EQ(endpoints.resumed.back(), std::make_pair(0, true));
-  InstanceList change{6, false, {config.knownEndpoints.instances[1]}};
+  EndpointListUpdate change{6, false, {config.initialEndpoints.instances[1]}};
   change.instances[0].state = Lifecycle::Draining;
   dispatcher.onEndpointList(change);
   dispatcher.onConnected(id, 0);
@@ -202,7 +202,7 @@
 }
 
 TEST_F(DispatcherTest, RetiresEndpointsThatACompleteListLacks) {
-  dispatcher.onEndpointList({7, true, {config.knownEndpoints.instances[0]}});
+  dispatcher.onEndpointList({7, true, {config.initialEndpoints.instances[0]}});
   dispatcher.processEvents();
   EXPECT_TRUE(endpoints.ready[1]);
   EXPECT_FALSE(endpoints.ready[2]);
@@ -214,7 +214,7 @@
 // Over a long time every endpoint is replaced by a new one with a new name.
 TEST_F(DispatcherTest, RemovesDepartedEndpointsAndReusesNoId) {
   const RequestId id = submitRead();  // in flight at endpoint 2
-  dispatcher.onEndpointList({7, true, {config.knownEndpoints.instances[0]}});
+  dispatcher.onEndpointList({7, true, {config.initialEndpoints.instances[0]}});
   dispatcher.processEvents();
   dispatcher.removeDeparted(dispatcher.now() + std::chrono::seconds(30));
   dispatcher.processEvents();
@@ -229,7 +229,7 @@
   endAttempt(id, 0, 2, AttemptStatus::Ok);  // late, from an endpoint that is no longer known
   dispatcher.onHealthCheck(2, true, {1, 0, 0});
   dispatcher.processEvents();
-  dispatcher.onEndpointList({8, true, config.knownEndpoints.instances});
+  dispatcher.onEndpointList({8, true, config.initialEndpoints.instances});
   dispatcher.processEvents();
   EXPECT_TRUE(endpoints.ready[3]);
   EXPECT_FALSE(endpoints.ready[2]);
--- a/tests/dnssd_client_test.cpp
+++ b/tests/dnssd_client_test.cpp
@@ -51,11 +51,11 @@
     service.port = static_cast<std::uint16_t>(port);
     for (auto* server : {&first, &second}) server->publish(service);
   }
-  void onEndpointList(InstanceList list) override {
+  void onEndpointList(EndpointListUpdate list) override {
     ++lists;
     if (list.reset) instances.clear();
     for (const Instance& instance : list.instances)
-      if (instance.state == Lifecycle::Gone)
+      if (instance.state == Lifecycle::Removed)
         instances.erase(instance.name);
       else
         instances[instance.name] = instance;
--- a/tests/endpoint_feed_test.cpp
+++ b/tests/endpoint_feed_test.cpp
@@ -11,7 +11,7 @@
 
 struct RecordingListHandler : EndpointListHandler {
   std::vector<std::string> calls;
-  void onEndpointList(InstanceList list) override {
+  void onEndpointList(EndpointListUpdate list) override {
     calls.push_back("list of " + std::to_string(list.instances.size()));
   }
   void onListFailure(const std::string& why) override { calls.push_back("failure: " + why); }
@@ -24,8 +24,8 @@
   RecordingListHandler handler;
   EndpointFeed feed{base.get(), clock, handler, {}};
 
-  static InstanceList listOf(int count) {
-    InstanceList list{7, true, {}};
+  static EndpointListUpdate listOf(int count) {
+    EndpointListUpdate list{7, true, {}};
     for (int k = 1; k <= count; ++k) {
       Instance instance;
       instance.name = "s-" + std::to_string(k);
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -14,7 +14,7 @@
       R"({"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:5432","zone":"a",)"
       R"("machineType":"m2","cell":3,"lifecycle":"leaving","weight":1.5,"startedAtMs":7},)"
       R"({"instanceId":"s-2","lifecycle":"left"}]})";
-  const InstanceList list = parseInstances(text);
+  const EndpointListUpdate list = parseEndpointList(text);
   EXPECT_EQ(list.generation, 43u);
   EXPECT_FALSE(list.reset);
   ASSERT_EQ(list.instances.size(), 2u);
@@ -22,12 +22,12 @@
   EXPECT_EQ(list.instances[0].state, Lifecycle::Draining);
   EXPECT_EQ(list.instances[0].startedMs, 7);
   EXPECT_EQ(list.instances[0].address.port(), 5432);
-  EXPECT_EQ(list.instances[1].state, Lifecycle::Gone);
+  EXPECT_EQ(list.instances[1].state, Lifecycle::Removed);
   const auto errorAfterReplacing = [&](const std::string& from, const std::string& to) {
     std::string bad = text;
     bad.replace(bad.find(from), from.size(), to);
     try {
-      parseInstances(bad);
+      parseEndpointList(bad);
     } catch (const InvalidInput& e) {
       return std::string(e.what());
     }
@@ -39,7 +39,7 @@
   EXPECT_NE(errorAfterReplacing("leaving", "gone").find("instances[0].lifecycle"), std::string::npos);
   EXPECT_NE(errorAfterReplacing("\"instanceId\":\"s-2\"", "\"x\":1").find("instances[1].instanceId"),
             std::string::npos);
-  EXPECT_THROW(parseInstances("{\"generation\":"), InvalidInput);
+  EXPECT_THROW(parseEndpointList("{\"generation\":"), InvalidInput);
 }
 
 TEST(EndpointList, IsReadFromAStreamInPiecesOfAnySize) {
@@ -50,20 +50,20 @@
   const std::string text = "\n" + one + "\r\n\n" + two + one;
   for (std::size_t step : {std::size_t{1}, std::size_t{7}, text.size()}) {
     EndpointListReader reader;
-    std::vector<InstanceList> lists;
+    std::vector<EndpointListUpdate> lists;
     for (std::size_t at = 0; at < text.size(); at += step)
       reader.feed(std::string_view(text).substr(at, step),
-                  [&](InstanceList list) { lists.push_back(std::move(list)); });
+                  [&](EndpointListUpdate list) { lists.push_back(std::move(list)); });
     ASSERT_EQ(lists.size(), 3u) << step;
     ASSERT_EQ(lists[1].instances.size(), 1u);
     EXPECT_EQ(lists[1].instances[0].name, "a}]\"{\\");
     EXPECT_EQ(lists[2].generation, 1u);
   }
-  const auto none = [](InstanceList) {};
+  const auto none = [](EndpointListUpdate) {};
   EXPECT_THROW(EndpointListReader().feed("x", none), InvalidInput);
   EXPECT_THROW(EndpointListReader().feed("{]", none), InvalidInput);
   int before = 0;
-  EXPECT_THROW(EndpointListReader().feed(one + "]", [&](InstanceList) { ++before; }), InvalidInput);
+  EXPECT_THROW(EndpointListReader().feed(one + "]", [&](EndpointListUpdate) { ++before; }), InvalidInput);
   EXPECT_EQ(before, 1);
 }
 
--- a/tests/endpoint_table_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -75,7 +75,7 @@
 TEST(EndpointTable, DrainingAndRemovedEndpointsGetNoRequestsFromThatEventOn) {
   BalancerFixture fixture;
   fixture.updateEndpoints({BalancerFixture::endpointUpdate(1, Lifecycle::Draining),
-                           BalancerFixture::endpointUpdate(2, Lifecycle::Gone)});
+                           BalancerFixture::endpointUpdate(2, Lifecycle::Removed)});
   for (int k = 0; k < 5; ++k) EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kEventualRead)), 3u);
   fixture.balancer.onEndpointList(fixture.now, EndpointListKind::Full, {BalancerFixture::endpointUpdate(1)});
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kEventualRead)), 1u)
@@ -84,11 +84,11 @@
 
 TEST(EndpointTable, OnlyDrainingForbidsRequestsWhereRemovedEndpointsServe) {
   Settings settings = defaultSettings();
-  settings.removedEndpointsServe = true;
+  settings.removedEndpointsAcceptRequests = true;
   BalancerFixture fixture(settings);
   fixture.updateEndpoints({BalancerFixture::endpointUpdate(1, Lifecycle::Draining),
-                           BalancerFixture::endpointUpdate(2, Lifecycle::Gone)});
-  fixture.updateEndpoints({BalancerFixture::endpointUpdate(1, Lifecycle::Gone)});
+                           BalancerFixture::endpointUpdate(2, Lifecycle::Removed)});
+  fixture.updateEndpoints({BalancerFixture::endpointUpdate(1, Lifecycle::Removed)});
   std::set<EndpointId> used;
   for (int k = 0; k < 6; ++k) {
     const RequestId id = fixture.serve(kEventualRead, 10ms);
@@ -103,8 +103,8 @@
   const RequestId id = fixture.submit(kEventualRead);
   const EndpointId busy = fixture.lastEndpoint(id);
   const EndpointId idle = busy == 2 ? 3 : 2;
-  fixture.updateEndpoints({BalancerFixture::endpointUpdate(idle, Lifecycle::Gone),
-                           BalancerFixture::endpointUpdate(busy, Lifecycle::Gone)});
+  fixture.updateEndpoints({BalancerFixture::endpointUpdate(idle, Lifecycle::Removed),
+                           BalancerFixture::endpointUpdate(busy, Lifecycle::Removed)});
   fixture.advanceTime(9000ms);
   EXPECT_TRUE(fixture.balancer.removeDeparted(fixture.now).empty());
   fixture.advanceTime(1000ms);
--- a/tests/endpoint_tracker_test.cpp
+++ b/tests/endpoint_tracker_test.cpp
@@ -28,7 +28,7 @@
   while (const auto list = tracker.takeUpdate(now))
     for (const Instance& instance : list->instances)
       all += (all.empty() ? "" : " ") + instance.name +
-             (instance.state == Lifecycle::Gone       ? "!"
+             (instance.state == Lifecycle::Removed    ? "!"
               : instance.state == Lifecycle::Draining ? "~"
                                                       : "");
   return all;
@@ -125,7 +125,7 @@
   ASSERT_EQ(list->instances.size(), 2u);
   for (const Instance& instance : list->instances)
     EXPECT_TRUE(instance.name == "new-1" ? instance.startedMs == 0
-                                         : instance.name == "s-1" && instance.state == Lifecycle::Gone)
+                                         : instance.name == "s-1" && instance.state == Lifecycle::Removed)
         << instance.name;
 }
 
@@ -150,7 +150,7 @@
   const auto list = tracker.takeUpdate(kStart + seconds(1));
   ASSERT_TRUE(list);
   ASSERT_EQ(list->instances.size(), 2u);
-  EXPECT_EQ(list->instances[0].state, Lifecycle::Gone);
+  EXPECT_EQ(list->instances[0].state, Lifecycle::Removed);
   EXPECT_EQ(list->instances[0].name, "s-1");
   EXPECT_EQ(list->instances[1].name, "s-1#2");
   EXPECT_EQ(list->instances[1].startedMs, (kStart + seconds(1)).count() / 1000);
@@ -191,11 +191,11 @@
 
 TEST(EndpointTracker, PassesOnTheListsOfASourceWithGenerations) {
   EndpointTracker tracker;
-  InstanceList complete{41, true, {makeInstance("s-1", 1), makeInstance("s-2", 2)}};
+  EndpointListUpdate complete{41, true, {makeInstance("s-1", 1), makeInstance("s-2", 2)}};
   tracker.onChange(kStart, complete);
-  InstanceList change{42, false, {makeInstance("s-3", 3)}};
+  EndpointListUpdate change{42, false, {makeInstance("s-3", 3)}};
   change.instances.push_back(makeInstance("s-1", 1));
-  change.instances.back().state = Lifecycle::Gone;
+  change.instances.back().state = Lifecycle::Removed;
   tracker.onChange(kStart, change);
   tracker.onChange(kStart, {43, false, {}});  // no change, which confirms the list all the same
   EXPECT_EQ(tracker.generation(), 43u);
@@ -214,7 +214,7 @@
   ASSERT_TRUE(update);
   ASSERT_EQ(update->instances.size(), 2u);
   EXPECT_EQ(update->instances[0].name, "s-3");
-  EXPECT_EQ(update->instances[0].state, Lifecycle::Gone);
+  EXPECT_EQ(update->instances[0].state, Lifecycle::Removed);
   EXPECT_EQ(update->instances[1].name, "s-2");
   EXPECT_FALSE(update->reset);
   EXPECT_FALSE(tracker.hasMoreUpdates());
@@ -222,7 +222,7 @@
 
 TEST(EndpointTracker, LongListsComeInPartsWithWithdrawalsFirst) {
   EndpointTracker tracker;
-  InstanceList list{41, true, {}};
+  EndpointListUpdate list{41, true, {}};
   for (int k = 0; k < 1000; ++k) list.instances.push_back(makeInstance("s-" + std::to_string(k), 1 + k));
   list.instances.back().state = Lifecycle::Draining;
   tracker.onChange(kStart, list);
@@ -247,12 +247,12 @@
     std::map<std::string, Instance> source;
     std::map<std::string, Instance> published;
     for (std::uint64_t generation = 1; generation <= 20; ++generation) {
-      InstanceList change{generation, false, {}};
+      EndpointListUpdate change{generation, false, {}};
       for (int k = 0; k < 250; ++k) {
         if (random(4) > 0) continue;
         Instance instance = makeInstance("s-" + std::to_string(k), 1 + static_cast<int>(random(3000)));
         instance.state = static_cast<Lifecycle>(random(3));
-        if (instance.state == Lifecycle::Gone)
+        if (instance.state == Lifecycle::Removed)
           source.erase(instance.name);
         else
           source[instance.name] = instance;
@@ -266,7 +266,7 @@
       if (random(2) == 0) continue;  // the next list comes before this one's parts have been taken
       while (const auto update = tracker.takeUpdate(kStart))
         for (const Instance& instance : update->instances) {
-          if (instance.state == Lifecycle::Gone)
+          if (instance.state == Lifecycle::Removed)
             published.erase(instance.name);
           else
             published[instance.name] = instance;
@@ -298,7 +298,7 @@
       while (const auto list = tracker.takeUpdate(now)) {
         if (list->reset) published.clear();
         for (const Instance& instance : list->instances) {
-          if (instance.state == Lifecycle::Gone)
+          if (instance.state == Lifecycle::Removed)
             ASSERT_EQ(published.erase(instance.name), 1u) << "seed " << seed;
           else
             published[instance.name] = instance;
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -38,7 +38,7 @@
     std::printf("  cancel %d/%d\n", static_cast<int>(id), attempt);
   }
   // A real program calls LoadBalancer::onTimer when the timer is due.
-  void scheduleTimer(Duration /*in*/, TimerToken /*token*/) override {}
+  void scheduleTimer(Duration /*delay*/, TimerToken /*token*/) override {}
   // A real program requests a load report from the endpoint.
   void checkHealth(EndpointId /*endpoint*/) override {}
   void broadcast(const GossipMessage& /*message*/) override {}
@@ -93,7 +93,7 @@
   outcome.attempt = attempt;
   outcome.endpoint = endpoint;
   outcome.status = status;
-  outcome.requestClosed = status == AttemptStatus::Ok;
+  outcome.requestFinished = status == AttemptStatus::Ok;
   return outcome;
 }
 
--- a/tests/invariant_checker.cpp
+++ b/tests/invariant_checker.cpp
@@ -32,7 +32,7 @@
 }
 
 void InvariantChecker::checkEndpointIsOpen(const EndpointState& state) const {
-  if (settings_.removedEndpointsServe) {
+  if (settings_.removedEndpointsAcceptRequests) {
     ASSERT_FALSE(state.isDraining);
   } else {
     ASSERT_EQ(state.listed, Lifecycle::Ready) << "a send to a draining or removed endpoint";
--- a/tests/invariant_checker.hpp
+++ b/tests/invariant_checker.hpp
@@ -37,7 +37,7 @@
 
 /// An endpoint as the events so far make it.
 struct EndpointState {
-  Lifecycle listed = Lifecycle::Gone;
+  Lifecycle listed = Lifecycle::Removed;
   bool isDraining = false;
   bool isPrimary = false;
   TimePoint provenPosition{};
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -14,7 +14,7 @@
 TEST(MembersCommand, PrintsATableAndJson) {
   const Config config = parseSettings(test::kSampleSettings, "f.ini");
   EndpointTracker known;
-  std::vector<Instance> all = config.knownEndpoints.instances;
+  std::vector<Instance> all = config.initialEndpoints.instances;
   all[1].state = Lifecycle::Draining;
   all[1].startedMs = 1767225600123;
   all[1].kind = "a\"\xff";
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -19,11 +19,11 @@
   const auto bits = static_cast<unsigned>(variant);
   Settings settings = defaultSettings();
   settings.staleReadPolicy = static_cast<StaleReadPolicy>(variant % 3);
-  settings.sessionTokensCarried = (bits & 1U) != 0;
+  settings.requestsCarrySessionToken = (bits & 1U) != 0;
   settings.positionsInResponses = (bits & 2U) != 0;
   settings.hedgingAllowed = (bits & 4U) != 0;
   settings.discovery = (bits & 8U) != 0 ? DiscoveryMode::Poll : DiscoveryMode::Push;
-  settings.removedEndpointsServe = (bits & 16U) != 0;
+  settings.removedEndpointsAcceptRequests = (bits & 16U) != 0;
   return settings;
 }
 
@@ -137,7 +137,7 @@
   // The latest commit of a session, by its token or by the responses to its writes; -1: it has written
   // nothing.
   TimePoint lastCommitOf(std::uint64_t session, Duration tokenAge) const {
-    if (fixture_.settings.sessionTokensCarried)
+    if (fixture_.settings.requestsCarrySessionToken)
       return tokenAge > Duration(0) ? fixture_.now - tokenAge : TimePoint(Duration(-1));
     const auto it = sessionCommits_.find(session);
     return it != sessionCommits_.end() ? it->second : TimePoint(Duration(-1));
@@ -149,7 +149,7 @@
     if (pick(3) == 0) {
       EndpointState& state = checker_.endpoints[endpoint];
       state.listed = listed;
-      state.isDraining = listed == Lifecycle::Draining || (state.isDraining && listed == Lifecycle::Gone);
+      state.isDraining = listed == Lifecycle::Draining || (state.isDraining && listed == Lifecycle::Removed);
       const TimePoint started = pick(2) != 0 ? fixture_.now : TimePoint();
       fixture_.updateEndpoints({BalancerFixture::endpointUpdate(endpoint, listed, started)});
     } else if (pick(9) == 0) {
@@ -229,7 +229,7 @@
     outcome.attempt = static_cast<int>(attempt);
     outcome.endpoint = request.attempts[attempt].endpoint;
     outcome.status = status;
-    outcome.requestClosed = request.isFinished || status == AttemptStatus::Ok;
+    outcome.requestFinished = request.isFinished || status == AttemptStatus::Ok;
     return outcome;
   }
 
--- a/tests/recording_sink.hpp
+++ b/tests/recording_sink.hpp
@@ -56,11 +56,11 @@
     action.attempt = attempt;
     recorded.push_back(action);
   }
-  void scheduleTimer(Duration in, TimerToken token) override {
+  void scheduleTimer(Duration delay, TimerToken token) override {
     Action action = make(ActionKind::Timer);
-    action.time = in;
+    action.time = delay;
     action.token = token;
-    action.dueAt = clock != nullptr ? *clock + in : TimePoint(in);
+    action.dueAt = clock != nullptr ? *clock + delay : TimePoint(delay);
     recorded.push_back(action);
   }
   void checkHealth(EndpointId endpoint) override {
--- a/tests/replica_selection_test.cpp
+++ b/tests/replica_selection_test.cpp
@@ -37,7 +37,7 @@
 
 TEST(ReplicaSelection, AgeInASessionTokenIsRoundedUp) {
   Settings settings = defaultSettings();
-  settings.sessionTokensCarried = true;
+  settings.requestsCarrySessionToken = true;
   BalancerFixture fixture(settings);
   fixture.reportPosition(2, 100ms);
   EXPECT_TRUE(fixture.sends(fixture.submit(kReadYourWritesRead, 5, 99.0f)).empty());
--- a/tests/write_routing_test.cpp
+++ b/tests/write_routing_test.cpp
@@ -28,7 +28,7 @@
   fixture.endAttempt(id, AttemptStatus::TooStale, kFromReplica);
   fixture.endAttempt(id, AttemptStatus::Ok, fixture.evidence(0ms, Role::Primary));
   ASSERT_EQ(fixture.lastEndpoint(id), 2u);
-  fixture.updateEndpoints({BalancerFixture::endpointUpdate(3, Lifecycle::Gone)});
+  fixture.updateEndpoints({BalancerFixture::endpointUpdate(3, Lifecycle::Removed)});
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kEventualRead)), 1u);
 }
 
