--- a/include/stonebay/load_balancer.hpp
+++ b/include/stonebay/load_balancer.hpp
@@ -1,9 +1,11 @@
-// The interface of the decision module: settings, events, actions and the LoadBalancer that joins them.
+// The public interface of the decision module: settings, events, actions and the LoadBalancer that turns
+// events into actions.
 //
-// An embedding program owns the network and the clock. It tells a LoadBalancer what happened, one event at a
-// time and in order, and carries out the actions that come back through the ActionSink before the call
-// returns. A LoadBalancer does no I/O, reads no clock, starts no thread and shares nothing with another one:
-// the same settings, seed and events give the same actions.
+// An embedding program owns the network and the clock. It reports every event to a LoadBalancer, one at a
+// time and in order. The LoadBalancer calls the ActionSink with its decisions before it returns from the
+// event, and the embedding program carries them out. A LoadBalancer does no I/O, reads no clock, starts no
+// thread and shares no state with other instances: the same settings, seed and events produce the same
+// actions.
 #pragma once
 
 #include <chrono>
@@ -15,9 +17,8 @@
 
 namespace stonebay {
 
-/// A span of time.
 using Duration = std::chrono::microseconds;
-/// The clock of the embedding program; it never goes back. Only its instants are used here.
+/// The clock type of TimePoint. It has no now(): the embedding program passes in every instant.
 struct CallerClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -25,84 +26,127 @@
   using time_point = std::chrono::time_point<CallerClock>;
   static constexpr bool is_steady = true;
 };
-/// An instant on the caller's clock, in microseconds after an epoch of the caller's choice.
+/// An instant on the caller's clock, in microseconds since an epoch that the caller chooses.
 using TimePoint = CallerClock::time_point;
-/// Opaque; the same for as long as the endpoint keeps its address.
+/// Assigned by the caller; must not be 0. An endpoint keeps its id for as long as it keeps its address.
 using EndpointId = std::uint64_t;
-/// Never used twice during the life of a LoadBalancer.
+/// Assigned by the caller; must not be 0 and must not be reused during the life of a LoadBalancer.
 using RequestId = std::uint64_t;
-/// A replica group: a primary and its replicas.
+/// Identifies a replica group: a primary and its replicas.
 using GroupId = std::uint32_t;
 
-/// Whether a request may run more than once.
-enum class Idempotency { Idempotent, IdempotencyKey, NonIdempotent };
-/// For requests with an idempotency key: which endpoints share the memory of keys and drop repeats.
-enum class DeduplicationScope { All, Zone, ReplicaGroup };
-/// What data a request needs. Writes go to the primary.
-enum class Consistency { Eventual, BoundedStaleness, ReadYourWrites, Strong, Write };
-/// What an endpoint does with a read that it lags for: answers from old data, rejects it, waits to catch up.
-enum class StaleReadPolicy { Serve, Reject, Wait };
-/// How the role in the endpoint list follows the real one.
-enum class ListedRole { Never, AtStart, Delayed };
-/// Whether endpoint lists come by themselves or have to be polled for.
-enum class DiscoveryMode { Push, Poll };
-/// Where load reports travel: nowhere, with responses, or as answers to health checks.
-enum class LoadReports { None, Piggyback, Pull };
-/// What a value of a load report says.
-enum class ReportField { Position, Primary, InFlight, Queue, Other };
+/// Whether a request may be executed more than once.
+enum class Idempotency {
+  Idempotent,      ///< may be executed any number of times
+  IdempotencyKey,  ///< carries a key by which endpoints drop repeats; see ClassSettings
+  NonIdempotent    ///< must be executed at most once
+};
+/// Idempotency::IdempotencyKey: which endpoints drop a repeat of a request that one of them has received.
+enum class DeduplicationScope {
+  All,          ///< all endpoints
+  Zone,         ///< the endpoints of the same zone
+  ReplicaGroup  ///< the endpoints of the same replica group
+};
+/// What data a request needs.
+enum class Consistency {
+  Eventual,          ///< any data
+  BoundedStaleness,  ///< data no older than ClassSettings::maxStaleness
+  ReadYourWrites,    ///< data that includes all earlier writes of the session
+  Strong,            ///< data that includes all writes committed before the request arrived
+  Write              ///< the request is a write; only the primary executes it
+};
+/// What an endpoint does with a read that requires newer data than it has.
+enum class StaleReadPolicy {
+  Serve,   ///< answers from its old data
+  Reject,  ///< rejects the read
+  Wait     ///< waits for up to Settings::staleReadWait to catch up
+};
+/// Whether endpoint lists name the primary (EndpointUpdate::primary), and how current that is.
+enum class ListedRole {
+  Never,    ///< lists do not name the primary
+  AtStart,  ///< the role that the endpoint had when it started
+  Delayed   ///< the current role, with a delay
+};
+/// How endpoint lists arrive.
+enum class DiscoveryMode {
+  Push,  ///< without a poll
+  Poll   ///< a poll requests a list and starts a watch, through which further lists arrive until it ends
+};
+/// How load reports arrive.
+enum class LoadReports {
+  None,       ///< there are none
+  Piggyback,  ///< with responses to requests
+  Pull        ///< with responses to health checks
+};
+/// The meaning of one value of a load report.
+enum class ReportField {
+  Position,  ///< the endpoint's position, in seconds after Settings::positionEpoch
+  Primary,   ///< 1 if the endpoint is the primary, 0 if it is a replica
+  InFlight,  ///< number of requests in flight at the endpoint, from all proxies
+  Queue,     ///< length of the endpoint's queue; not used
+  Other      ///< not used
+};
 
-/// A class of requests.
+/// The settings of one request class.
 struct ClassSettings {
   Consistency consistency = Consistency::Eventual;
   Idempotency idempotency = Idempotency::Idempotent;
   DeduplicationScope deduplicationScope = DeduplicationScope::All;  ///< IdempotencyKey only
-  Duration
-      deduplicationWindow{};    ///< IdempotencyKey only: how long repeats are dropped, from the first attempt
+  /// IdempotencyKey only: how long endpoints drop repeats, counted from the first attempt.
+  Duration deduplicationWindow{};
   Duration maxStaleness{};      ///< BoundedStaleness only: greatest age of the data when an attempt is sent
-  Duration latencyObjective{};  ///< a response within this earns the whole priority weight
-  Duration deadline{};          ///< how long a client waits at most
-  double priorityWeight = 1;
+  Duration latencyObjective{};  ///< a response within this time earns the whole priority weight
+  Duration deadline{};        ///< how long a client waits for its response, unless its request says otherwise
+  double priorityWeight = 1;  ///< relative to the other classes
   double latePriorityShare = 0;  ///< share of the priority weight that a response after the objective earns
 };
 
-/// What the installation and its rules prescribe; constant during the life of a LoadBalancer.
+/// The properties and rules of an installation; constant during the life of a LoadBalancer, except for
+/// `positionEpoch`.
 struct Settings {
   std::vector<ClassSettings> classes;
   StaleReadPolicy staleReadPolicy = StaleReadPolicy::Serve;
   ListedRole listedRole = ListedRole::Never;
   DiscoveryMode discovery = DiscoveryMode::Push;
   LoadReports reports = LoadReports::None;
-  std::vector<ReportField> reportFields;  ///< order of the values in a report
-  bool positionsInResponses = false;      ///< every response carries a position
-  bool requestsCarrySessionToken =
-      false;  ///< session reads carry the age of their last write; else it is remembered here
-  bool synchronousReplication = false;  ///< a write is answered only once a replica has it
+  std::vector<ReportField> reportFields;  ///< the values of a load report, in their order
+  bool positionsInResponses = false;      ///< every response carries the endpoint's position
+  /// Read-your-writes requests carry the age of their session's last commit (Request::sessionTokenAgeMs). If
+  /// false, the LoadBalancer remembers the last commit of each session.
+  bool requestsCarrySessionToken = false;
+  bool synchronousReplication = false;  ///< a write is answered only after a replica has received it
   bool healthChecksAllowed = false;
   bool cancellationAllowed = false;  ///< attempts may be cancelled
-  bool hedgingAllowed = false;       ///< a read may go to several endpoints at once
-  bool retryAfterAllowed = false;    ///< a rejection may say when to come back
-  bool gossipAllowed = false;        ///< proxies may tell one another what they know
-  bool removedEndpointsAcceptRequests =
-      false;                  ///< only draining forbids new requests, removal from the list does not
-  int maxAttempts = 1;        ///< attempts for one request
-  int proxyCount = 1;         ///< proxies in front of the same endpoints, this one included
-  Duration staleReadWait{};   ///< StaleReadPolicy::Wait: how long an endpoint waits to catch up
-  TimePoint positionEpoch{};  ///< positions in responses and reports count from here
-  Duration maxRetryAfter{};
-  Duration drainGracePeriod{};
-  Duration slowStartWindow{};  ///< how long an endpoint warms up after its start
-  Duration overloadWindow{};   ///< in which the requests that overload a warming endpoint are counted
-  Duration maxPollInterval{};  ///< DiscoveryMode::Poll: discovery has to be polled at least so often
+  bool hedgingAllowed = false;       ///< a read may be sent to several endpoints at the same time
+  bool retryAfterAllowed = false;    ///< a rejection may tell the client when to retry
+  bool gossipAllowed = false;        ///< proxies may broadcast what endpoints report to them
+  /// An endpoint that was removed from the list may still receive requests; only draining forbids them.
+  bool removedEndpointsAcceptRequests = false;
+  int maxAttempts = 1;          ///< attempts of one request, the first one included
+  int proxyCount = 1;           ///< proxies in front of the same endpoints, this one included
+  Duration staleReadWait{};     ///< StaleReadPolicy::Wait: how long an endpoint waits to catch up
+  TimePoint positionEpoch{};    ///< load reports give positions in seconds after this instant
+  Duration maxRetryAfter{};     ///< upper bound of the Retry-After time of a rejection
+  Duration drainGracePeriod{};  ///< how long a draining or removed endpoint may still receive requests
+  Duration slowStartWindow{};   ///< how long an endpoint warms up after its start
+  Duration overloadWindow{};    ///< see `overloadFactor`
+  /// DiscoveryMode::Poll: longest time without a poll or a watch; 0 means no limit.
+  Duration maxPollInterval{};
   Duration timeStep{};         ///< resolution of the caller's clock
-  double initialCapacity = 1;  ///< of an endpoint that has just started, as a share of a warm one's
-  double overloadFactor = 1;   ///< multiple of its capacity at which a warming endpoint fails
-  double totalServedGoalWeight =
-      1;  ///< weight in the goal of the share of all priority weight that is served
-  double worstClassGoalWeight =
-      0;  ///< weight in the goal of the share that is served of the worst-served class
+  double initialCapacity = 1;  ///< capacity of an endpoint that has just started, as a share of a warm one's
+  /// A warming endpoint fails if it receives more than this multiple of its capacity over `overloadWindow`.
+  double overloadFactor = 1;
+  /// Weights of the two parts of the goal that load shedding pursues: the share of all priority weight that
+  /// is served, and the served share of the class in which that share is lowest.
+  double totalServedGoalWeight = 1;
+  double worstClassGoalWeight = 0;
 };
 
-enum class Lifecycle { Removed, Ready, Draining };
+enum class Lifecycle {
+  Removed,  ///< no longer in the list
+  Ready,    ///< accepts requests
+  Draining  ///< about to stop; accepts no new requests
+};
 
 /// One entry of an endpoint list.
 struct EndpointUpdate {
@@ -110,148 +154,175 @@
   GroupId group = 0;
   int zone = 0;
   Lifecycle state = Lifecycle::Ready;
-  bool primary = false;  ///< see Settings::listedRole
-  double weight = 1;     ///< size, comparable among endpoints
-  TimePoint started{};   ///< latest start; 0: long ago
+  bool primary = false;  ///< the endpoint is listed as the primary; see ListedRole
+  double weight = 1;     ///< size of the endpoint relative to the others
+  TimePoint started{};   ///< time of the latest start; 0 means long ago
 };
 
-/// Full and Cached lists are complete: what they lack is gone. Failed: discovery could not be polled.
-enum class EndpointListKind { Delta, Full, Cached, Failed };
+enum class EndpointListKind {
+  Delta,   ///< the entries that have changed
+  Full,    ///< a complete list: endpoints without an entry have been removed
+  Cached,  ///< a complete list from a cache; treated as Full
+  Failed   ///< a poll failed or a watch ended; there are no entries
+};
 
-/// A client's request.
+/// A request of a client.
 struct Request {
   RequestId id = 0;
-  int classIndex = 0;  ///< into Settings::classes; anything else is rejected
+  int classIndex = 0;  ///< index into Settings::classes; a request with an invalid index is rejected
   GroupId group = 0;
-  std::uint64_t session = 0;  ///< 0: none
-  float sessionTokenAgeMs =
-      0;                 ///< Settings::requestsCarrySessionToken: age of the session's last commit; 0: none
-  TimePoint deadline{};  ///< the client leaves then
+  std::uint64_t session = 0;  ///< 0 means none
+  /// Settings::requestsCarrySessionToken: age of the session's last commit in milliseconds; 0 means that the
+  /// session has not written.
+  float sessionTokenAgeMs = 0;
+  TimePoint deadline{};  ///< when the client stops waiting
 };
 
-/// How an attempt ended. NotSent: no byte of it went out. TooStale: the endpoint's data is too old for it.
-enum class AttemptStatus { Ok, Error, Rejected, Timeout, ConnectFailed, Reset, Cancelled, NotSent, TooStale };
+/// How an attempt ended.
+enum class AttemptStatus {
+  Ok,             ///< the endpoint executed the request
+  Error,          ///< the endpoint answered with an error
+  Rejected,       ///< the endpoint declined the request unexecuted: it is full, draining or about to stop
+  Timeout,        ///< there was no response by the time limit of the attempt
+  ConnectFailed,  ///< the connection could not be established
+  Reset,          ///< the connection was closed before the response was complete
+  Cancelled,      ///< the attempt was cancelled
+  NotSent,        ///< no byte of the attempt was sent
+  TooStale        ///< the endpoint's data is too old for the read, or a write was sent to a replica
+};
 
-/// What an endpoint is in its replica group, by some evidence.
+/// The role of an endpoint in its replica group.
 enum class Role { Unknown, Primary, Replica };
 
 /// The end of an attempt.
 struct AttemptOutcome {
   RequestId request = 0;
-  int attempt = 0;  ///< counted from 0 in the order of the sends of this request
+  int attempt = 0;  ///< number of the attempt; those of a request count from 0 in the order of their sends
   EndpointId endpoint = 0;
   AttemptStatus status = AttemptStatus::Ok;
   Duration latency{};
   bool requestFinished = false;  ///< the client has its final response
-  Role role = Role::Unknown;     ///< that the endpoint gave itself with its answer
-  std::optional<TimePoint>
-      position;               ///< that came with the answer: the endpoint has applied all commits up to here
-  std::vector<float> report;  ///< values in the order of Settings::reportFields; may be empty
+  Role role = Role::Unknown;     ///< the role that the endpoint stated in its response
+  /// The position in the response: the endpoint has applied all commits up to this instant.
+  std::optional<TimePoint> position;
+  std::vector<float> report;  ///< load report, in the order of Settings::reportFields; may be empty
 };
 
 /// The end of a health check.
 struct HealthCheckResult {
   EndpointId endpoint = 0;
-  bool ok = false;
+  bool ok = false;  ///< the endpoint responded
   Duration latency{};
-  std::vector<float> report;  ///< as in AttemptOutcome
+  std::vector<float> report;  ///< load report, in the order of Settings::reportFields; may be empty
 };
 
-/// What one proxy tells all others of an endpoint, from that endpoint's own report.
+/// The latest load report of an endpoint, as one proxy broadcasts it to all others.
 struct GossipMessage {
   EndpointId endpoint = 0;
-  TimePoint position{};  ///< the endpoint has applied all commits up to here
+  TimePoint position{};  ///< the endpoint has applied all commits up to this instant
   bool primary = false;
-  int inFlight = 0;  ///< requests that it held
+  int inFlight = 0;  ///< number of requests in flight at the endpoint, from all proxies
 };
 
 /// What a timer is for.
-enum class TimerKind : std::uint8_t { Tick = 0, Poll = 1, Wake = 2 };
+enum class TimerKind : std::uint8_t {
+  Tick = 0,  ///< periodic work while attempts are in flight or requests wait
+  Poll = 1,  ///< the next poll of discovery
+  Wake = 2   ///< the end of the time for which a request may wait
+};
 
-/// Names a timer; comes back through LoadBalancer::onTimer when it is due.
+/// Identifies a timer; the embedding program passes it to LoadBalancer::onTimer() when the timer expires.
 struct TimerToken {
   TimerKind kind = TimerKind::Tick;
-  std::uint64_t id = 0;  ///< Poll: the generation of the poll; Wake: the request; below 2^56
+  std::uint64_t id = 0;  ///< Poll: sequence number of the poll; Wake: id of the request; less than 2^56
 
-  /// As one number, for an embedding program whose timers carry one.
+  /// The token as one number, for an embedding program whose timers carry a number.
   std::uint64_t encoded() const { return id << 8 | static_cast<std::uint64_t>(kind); }
   static TimerToken decode(std::uint64_t number) {
     return {static_cast<TimerKind>(number & 0xff), number >> 8};
   }
 };
 
-/// Why a LoadBalancer gives a request its final response itself.
+/// Why a LoadBalancer rejects or fails a request.
 enum class EndReason {
-  UnknownClass,
+  UnknownClass,          ///< Request::classIndex is invalid
   AttemptsExhausted,     ///< Settings::maxAttempts have been made
-  NotRetryable,          ///< an attempt may have run, and the request is not idempotent
-  DeadlineUnreachable,   ///< it would not be answered in time any more
-  Overloaded,            ///< the endpoints that could serve it are too loaded for it
-  RetryBudgetExhausted,  ///< all proxies' retries together must not feed an overload
+  NotRetryable,          ///< an attempt may have been executed, and the request is not idempotent
+  DeadlineUnreachable,   ///< a response would come too late, or no endpoint became available in time
+  Overloaded,            ///< the endpoints that could serve the request have too much load
+  RetryBudgetExhausted,  ///< retries are limited, so that those of all proxies do not feed an overload
 };
 
-/// Carries out what a LoadBalancer decides. Calls come during an event, in the order in which they take
-/// effect.
+/// Carries out the decisions of a LoadBalancer. The LoadBalancer calls it during an event, in the order in
+/// which the decisions take effect.
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
-  /// Sends an attempt; `until` 0: it ends when the client leaves. Answered by LoadBalancer::onAttemptOutcome.
+  /// Sends an attempt. It times out at `until`; 0 means that it ends only when the client leaves. The end of
+  /// the attempt must be reported to LoadBalancer::onAttemptOutcome().
   virtual void send(RequestId request, EndpointId endpoint, TimePoint until) = 0;
-  /// Final: a new request is harmless. `retryAfter` 0: nothing is said about when to come back.
+  /// Gives the client its final response: the request was rejected and may safely be sent again. `retryAfter`
+  /// is how long the client should wait before it does so; 0 means that the response does not say.
   virtual void reject(RequestId request, Duration retryAfter, EndReason reason) = 0;
-  /// Final: the request may have run.
+  /// Gives the client its final response: the request failed and may have been executed.
   virtual void fail(RequestId request, EndReason reason) = 0;
-  /// Cancels an attempt; its AttemptOutcome still has to come.
+  /// Cancels an attempt. Its end must still be reported to LoadBalancer::onAttemptOutcome().
   virtual void cancel(RequestId request, int attempt) = 0;
-  /// Answered by LoadBalancer::onTimer, never early.
+  /// Schedules a call of LoadBalancer::onTimer() after `delay`. The call must not be early; it may be late.
   virtual void scheduleTimer(Duration delay, TimerToken token) = 0;
-  /// Answered by LoadBalancer::onHealthCheck.
+  /// Sends a health check. Its end must be reported to LoadBalancer::onHealthCheck().
   virtual void checkHealth(EndpointId endpoint) = 0;
-  /// To all other proxies; may be late or lost.
+  /// Sends a message to all other proxies. It may be delayed or lost.
   virtual void broadcast(const GossipMessage& message) = 0;
-  /// Answered by LoadBalancer::onEndpointList.
+  /// Polls discovery for the endpoint list and starts a watch for later changes. The lists, and the end of
+  /// the poll or watch by a failure, must be reported to LoadBalancer::onEndpointList().
   virtual void pollDiscovery() = 0;
-  /// For the operators.
+  /// Writes a line to the log for operators.
   virtual void log(const std::string& line) = 0;
 };
 
-/// The decisions of one proxy.
+/// Makes the decisions of one proxy.
 ///
-/// Every call takes the present, which never goes back. Events about what is not known (any more) are
-/// ignored. The ActionSink must outlive the LoadBalancer and must not call into it. No call but the
-/// constructor throws, other than for lack of memory.
+/// `now` is the caller's current time; it must not decrease from call to call. Events about endpoints or
+/// requests that the LoadBalancer does not know, or no longer knows, are ignored. The ActionSink must outlive
+/// the LoadBalancer and must not call into it. Apart from std::bad_alloc, only the constructor throws.
 class LoadBalancer {
  public:
-  /// Throws std::invalid_argument for settings that contradict each other.
+  /// Throws std::invalid_argument if a setting is out of range or contradicts another one.
   LoadBalancer(const Settings& settings, std::uint64_t seed, ActionSink& sink);
   ~LoadBalancer();
   LoadBalancer(LoadBalancer&& other) noexcept;
   LoadBalancer& operator=(LoadBalancer&& other) = delete;
 
-  /// The first one comes right after construction.
+  /// A list of endpoints arrived, or a poll or watch of discovery failed. The first call must come right
+  /// after construction.
   void onEndpointList(TimePoint now, EndpointListKind kind, const std::vector<EndpointUpdate>& updates);
-  /// From here on one final response is owed.
+  /// A request arrived. It ends with a successful attempt, with AttemptOutcome::requestFinished, with one
+  /// call of ActionSink::reject() or ActionSink::fail(), or with onClientLeft().
   void onRequest(TimePoint now, const Request& request);
-  /// Exactly one for each send, the client's timeout included.
+  /// An attempt ended. Must be called exactly once for each ActionSink::send(), also if the attempt ended
+  /// because the client left or its deadline passed.
   void onAttemptOutcome(TimePoint now, const AttemptOutcome& outcome);
-  /// Nothing is owed any more; outcomes still come.
+  /// A client left. Its request needs no final response; the ends of its attempts must still be reported.
   void onClientLeft(TimePoint now, RequestId id);
-  /// Exactly one for each health check.
+  /// A health check ended. Must be called exactly once for each ActionSink::checkHealth().
   void onHealthCheck(TimePoint now, const HealthCheckResult& result);
+  /// A timer of ActionSink::scheduleTimer() expired.
   void onTimer(TimePoint now, TimerToken token);
-  /// From another proxy.
+  /// A broadcast of another proxy arrived.
   void onGossip(TimePoint now, const GossipMessage& message);
 
-  /// Whether a send that had to wait for its connection may still go out: since it was decided the endpoint
-  /// may have drained, or its data grown too old. If not, its outcome is AttemptStatus::NotSent.
+  /// Returns whether an attempt that had to wait for its connection may still be sent. Since the decision the
+  /// request may have ended, the endpoint may have started to drain, or its data may have become too old. If
+  /// false, the attempt must not be sent and its outcome is AttemptStatus::NotSent.
   bool isStillEligible(TimePoint now, RequestId id, EndpointId endpoint);
-  /// Removes the endpoints that have been gone and quiet for long, and names them: their ids may be dropped.
+  /// Removes the endpoints that left the list some time ago and have no attempt or health check in flight.
+  /// Returns their ids, which the caller may forget.
   std::vector<EndpointId> removeDeparted(TimePoint now);
-  /// Positions in later responses and reports count from here.
+  /// Sets Settings::positionEpoch for the load reports that arrive from now on.
   void setPositionEpoch(TimePoint epoch);
-  /// The caller has found its clock to be wrong by `shift`: positions, starts of endpoints and commits of
-  /// sessions that came before are shifted by so much. Those that come from now on are converted by the
-  /// corrected clock.
+  /// Adds `shift` to the positions, start times of endpoints and session commits that were received so far.
+  /// For a caller that finds its conversion of Unix times to be wrong; it converts later ones correctly.
   void shiftUnixTimes(TimePoint now, Duration shift);
 
  private:
--- a/src/balancer/admission_control.cpp
+++ b/src/balancer/admission_control.cpp
@@ -21,11 +21,11 @@
 }
 
 Duration AdmissionControl::waitLimit(const PendingRequest& pending) const {
-  const TimePoint end = std::min(giveUpAt(pending), pending.request.deadline);
+  const TimePoint end = std::min(sendDeadline(pending), pending.request.deadline);
   return std::max(end - context_.now, Duration(1));
 }
 
-TimePoint AdmissionControl::giveUpAt(const PendingRequest& pending) const {
+TimePoint AdmissionControl::sendDeadline(const PendingRequest& pending) const {
   const ClassSettings& requestClass = context_.classOf(pending);
   const TimePoint arrived = pending.arrivedAt;
   const TimePoint deadline = pending.request.deadline;
--- a/src/balancer/consistency.cpp
+++ b/src/balancer/consistency.cpp
@@ -35,8 +35,8 @@
     const TimePoint evicted = table_.group(request.group).evictedCommit;
     pending.requiredCommit = commits_.find(request.session).value_or(evicted);
   } else if (request.sessionTokenAgeMs > 0) {
-    // The age may have been rounded up: the next f32 below it makes the required position err on the new
-    // side.
+    // Rounding to 32 bits may have increased the age. With the next smaller number the required position is
+    // never too old.
     const double age = static_cast<double>(std::nextafterf(request.sessionTokenAgeMs, 0.0F)) * 1e3;
     const double bounded = std::min(age, static_cast<double>(context_.now.time_since_epoch().count()));
     pending.requiredCommit = context_.now - Duration(static_cast<std::int64_t>(bounded));
@@ -56,7 +56,7 @@
     if (group.evictedCommit != kNever) group.evictedCommit += shift;
 }
 
-// Forgetting must not make a read stale: one commit stands for all.
+// Reads of forgotten sessions must not become stale: they require the latest commit of all sessions.
 void ConsistencyPolicy::evictSessions() {
   const TimePoint latest = commits_.evictAll();
   for (auto& [id, group] : table_.groups()) group.evictedCommit = std::max(group.evictedCommit, latest);
--- a/src/balancer/consistency.hpp
+++ b/src/balancer/consistency.hpp
@@ -1,4 +1,4 @@
-// How fresh an endpoint's data has to be for a request, and how likely it is to be.
+// The position that a request requires, and the probability that an endpoint has reached it.
 #pragma once
 
 #include <optional>
@@ -8,28 +8,35 @@
 
 namespace stonebay::balancer {
 
-/// Whether the endpoint's known position falls short of the required one; `kNever`: any position will do.
+/// Returns whether the endpoint's known position is older than the required one. `required` kNever means that
+/// any position suffices.
 bool isKnownStale(const Endpoint& endpoint, TimePoint required);
 
-/// Owns the commits of sessions that do not carry them themselves.
+/// Determines required positions. Owns the last commits of sessions whose requests do not carry them.
 class ConsistencyPolicy {
  public:
   ConsistencyPolicy(const Context& context, EndpointTable& table);
 
-  /// The instant that an endpoint's data must reach if the request is sent now; kNever: any data will do.
+  /// Returns the position that an endpoint must have reached if the request is sent now; kNever means that
+  /// any position suffices.
   TimePoint requiredPosition(const PendingRequest& pending) const;
+  /// Sets PendingRequest::requiredCommit; called once, when the request arrives.
   void setRequiredCommit(PendingRequest& pending);
+  /// Records the commit of a successful write for its session.
   void recordCommit(const PendingRequest& pending, const AttemptOutcome& outcome);
-  /// The commits that came so far were converted by a clock that was wrong by so much.
+  /// Adds `shift` to all commits recorded so far; see LoadBalancer::shiftUnixTimes().
   void shiftCommits(Duration shift);
 
-  /// The staleness factor of the paper: the share of recent position samples that were new enough, 1 where
-  /// the position proves it. Nothing: the endpoint would answer from old data, so that only a proof will do.
+  /// Returns the probability that the endpoint's data is new enough (the staleness factor of the paper that
+  /// replica_selection.hpp describes): 1 if its known position proves it, otherwise the share of its recent
+  /// position samples that were new enough. Returns std::nullopt if there is no proof and the endpoint would
+  /// answer from old data, so that the read must not be sent there.
   std::optional<double> freshnessProbability(const Endpoint& endpoint, TimePoint required) const;
-  /// The tightest bound on staleness of any class; 1 s where there is none.
+  /// Returns the smallest ClassSettings::maxStaleness of all classes; 1 s if no class has one.
   Duration tightestStaleness() const { return tightestStaleness_; }
 
  private:
+  /// Replaces the commits of all sessions by one commit per replica group.
   void evictSessions();
 
   const Context& context_;
--- a/src/balancer/context.hpp
+++ b/src/balancer/context.hpp
@@ -1,4 +1,4 @@
-// What all parts of a LoadBalancer share.
+// The state that all components of a LoadBalancer share.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace stonebay::balancer {
 
-/// The settings, the way out, and the present of the event at hand.
+/// The settings, the sink for actions, and the time of the event that is being processed.
 struct Context {
   Settings settings;
   ActionSink& sink;
@@ -24,12 +24,12 @@
   bool isWrite(const PendingRequest& pending) const {
     return classOf(pending).consistency == Consistency::Write;
   }
-  /// Whether load reports say how many requests an endpoint holds.
+  /// Returns whether load reports contain the number of requests in flight at an endpoint.
   bool reportsLoad() const {
     const std::vector<ReportField>& fields = settings.reportFields;
     return std::find(fields.begin(), fields.end(), ReportField::InFlight) != fields.end();
   }
-  /// Whether a health check would say anything.
+  /// Returns whether health checks are allowed and return a load report.
   bool canCheckHealth() const {
     return settings.healthChecksAllowed && settings.reports != LoadReports::None;
   }
--- a/src/balancer/core.cpp
+++ b/src/balancer/core.cpp
@@ -31,7 +31,7 @@
   balancer::validate(settings);
 }
 
-LoadBalancer::Core& LoadBalancer::Core::at(TimePoint now) {
+LoadBalancer::Core& LoadBalancer::Core::setTime(TimePoint now) {
   context_.now = now;
   return *this;
 }
@@ -40,14 +40,14 @@
 void LoadBalancer::Core::onEndpointList(EndpointListKind kind, const std::vector<EndpointUpdate>& updates) {
   poller_.onList(kind);
   if (kind != EndpointListKind::Failed) {
-    // The groups that the list does not name have nothing new, but their requests may look for a primary
-    // again.
+    // Nothing has changed in groups that the list does not name, but a new list lets their waiting requests
+    // resume primary discovery.
     std::set<GroupId> groups = table_.applyList(kind, updates);
     groups.insert(waitingGroups_.begin(), waitingGroups_.end());
     for (const GroupId id : groups) {
       ReplicaGroup& group = table_.group(id);
       table_.updateLargestGroupSize(group);
-      serveWaiting(group);
+      resumeWaiting(group);
     }
   }
   if (!started_) poller_.start();
@@ -76,16 +76,16 @@
   if (pending && outcome.status == AttemptStatus::Ok) consistency_.recordCommit(*pending, outcome);
   Endpoint* const endpoint = table_.find(outcome.endpoint);
   if (!endpoint) return;
-  const std::optional<InFlightAttempt> attempt = takeInFlight(*endpoint, outcome);
+  const std::optional<InFlightAttempt> attempt = removeInFlight(*endpoint, outcome);
   if (!attempt) return;
   const GroupId group = endpoint->info.group;
-  learn(*endpoint, *attempt, outcome);
-  if (pending) settle(*pending, outcome);
-  serveWaiting(table_.group(group));
+  recordEndpointOutcome(*endpoint, *attempt, outcome);
+  if (pending) processRequestOutcome(*pending, outcome);
+  resumeWaiting(table_.group(group));
 }
 
 void LoadBalancer::Core::onClientLeft(RequestId id) {
-  if (PendingRequest* const pending = findPending(id)) close(*pending);
+  if (PendingRequest* const pending = findPending(id)) finish(*pending);
 }
 
 void LoadBalancer::Core::onHealthCheck(const HealthCheckResult& result) {
@@ -98,7 +98,7 @@
   }
   outliers_.recordHealthCheck(*endpoint, result.ok);
   ReplicaGroup& group = *endpoint->replicaGroup;
-  if (healthChecker_.mayServeWaiting(group)) serveWaiting(group);
+  if (healthChecker_.mayResumeWaiting(group)) resumeWaiting(group);
 }
 
 void LoadBalancer::Core::onTimer(TimerToken token) {
@@ -108,13 +108,13 @@
     case TimerKind::Poll:
       return poller_.onTimer(token.id);
     case TimerKind::Wake:
-      return onWaitOver(token.id);
+      return onWaitExpired(token.id);
   }
 }
 
 void LoadBalancer::Core::onGossip(const GossipMessage& message) {
   Endpoint* const endpoint = table_.find(message.endpoint);
-  if (endpoint && gossip_.observeGossip(*endpoint, message)) serveWaiting(*endpoint->replicaGroup);
+  if (endpoint && gossip_.observeGossip(*endpoint, message)) resumeWaiting(*endpoint->replicaGroup);
 }
 
 bool LoadBalancer::Core::isStillEligible(RequestId id, EndpointId endpoint) {
@@ -133,8 +133,9 @@
 
 void LoadBalancer::Core::advance(PendingRequest& pending) {
   if (pending.outstandingAttempts > 0) return;
-  if (const std::optional<EndReason> reason = retries_.reasonToStop(pending)) return giveUp(pending, *reason);
-  if (admission_.isTooLate(pending)) return giveUp(pending, EndReason::DeadlineUnreachable);
+  if (const std::optional<EndReason> reason = retries_.reasonToStop(pending))
+    return rejectOrFail(pending, *reason);
+  if (admission_.isTooLate(pending)) return rejectOrFail(pending, EndReason::DeadlineUnreachable);
   const Route route = context_.isWrite(pending) ? writes_.route(pending) : reads_.route(pending);
   switch (route.action) {
     case Route::Action::Send:
@@ -144,8 +145,8 @@
       return wait(pending, admission_.waitLimit(pending));
     case Route::Action::WaitForHealthChecks:
       return wait(pending, std::min(admission_.waitLimit(pending), healthChecker_.waitLimit(pending)));
-    case Route::Action::GiveUp:
-      return giveUp(pending, EndReason::Overloaded);
+    case Route::Action::Shed:
+      return rejectOrFail(pending, EndReason::Overloaded);
   }
 }
 
@@ -170,13 +171,13 @@
   pending.waiting = true;
   context_.sink.scheduleTimer(limit, {TimerKind::Wake, pending.request.id});
   scheduleTick();
-  table_.group(pending.request.group).waiting.push_back(pending.request.id);
+  table_.group(pending.request.group).waitingRequests.push_back(pending.request.id);
   waitingGroups_.insert(pending.request.group);
 }
 
-void LoadBalancer::Core::serveWaiting(ReplicaGroup& group) {
+void LoadBalancer::Core::resumeWaiting(ReplicaGroup& group) {
   std::vector<RequestId> ids;
-  ids.swap(group.waiting);
+  ids.swap(group.waitingRequests);
   for (const RequestId id : ids) {
     PendingRequest* const pending = findPending(id);
     if (!pending || !pending->waiting) continue;
@@ -185,36 +186,36 @@
   }
 }
 
-void LoadBalancer::Core::onWaitOver(RequestId id) {
+void LoadBalancer::Core::onWaitExpired(RequestId id) {
   PendingRequest* const pending = findPending(id);
   if (!pending || !pending->waiting) return;
   pending->waiting = false;
-  balancer::eraseValue(table_.group(pending->request.group).waiting, id);
+  balancer::eraseValue(table_.group(pending->request.group).waitingRequests, id);
   advance(*pending);
 }
 
-void LoadBalancer::Core::giveUp(PendingRequest& pending, EndReason reason) {
+void LoadBalancer::Core::rejectOrFail(PendingRequest& pending, EndReason reason) {
   if (admission_.isSafeToReject(pending))
     context_.sink.reject(pending.request.id, admission_.retryAfter(pending), reason);
   else
     context_.sink.fail(pending.request.id, reason);
-  close(pending);
+  finish(pending);
 }
 
-void LoadBalancer::Core::close(PendingRequest& pending) {
+void LoadBalancer::Core::finish(PendingRequest& pending) {
   const RequestId id = pending.request.id;
   ReplicaGroup& group = table_.group(pending.request.group);
   if (group.discoveryRequest == id) group.discoveryRequest = 0;
   for (int k = 0; context_.settings.cancellationAllowed && k < pending.attemptCount(); ++k) {
     const Attempt& attempt = pending.attempts[index(k)];
-    if (attempt.open && !attempt.cancelled) context_.sink.cancel(id, k);
+    if (attempt.inFlight && !attempt.cancelled) context_.sink.cancel(id, k);
   }
   pending_.erase(id);
 }
 
 // ---- outcomes --------------------------------------------------------------------------------------------
-std::optional<balancer::InFlightAttempt> LoadBalancer::Core::takeInFlight(Endpoint& endpoint,
-                                                                          const AttemptOutcome& outcome) {
+std::optional<balancer::InFlightAttempt> LoadBalancer::Core::removeInFlight(Endpoint& endpoint,
+                                                                            const AttemptOutcome& outcome) {
   const auto isSame = [&](const InFlightAttempt& attempt) {
     return attempt.request == outcome.request && attempt.attempt == outcome.attempt;
   };
@@ -226,8 +227,8 @@
   return attempt;
 }
 
-void LoadBalancer::Core::learn(Endpoint& endpoint, const InFlightAttempt& attempt,
-                               const AttemptOutcome& outcome) {
+void LoadBalancer::Core::recordEndpointOutcome(Endpoint& endpoint, const InFlightAttempt& attempt,
+                                               const AttemptOutcome& outcome) {
   const ClassSettings& requestClass = context_.settings.classes[index(attempt.classIndex)];
   table_.observeOutcome(endpoint, outcome, requestClass.consistency == Consistency::Write);
   gossip_.observeReport(endpoint, outcome.report);
@@ -235,15 +236,15 @@
   outliers_.recordOutcome(endpoint, attempt, outcome.status);
 }
 
-void LoadBalancer::Core::settle(PendingRequest& pending, const AttemptOutcome& outcome) {
+void LoadBalancer::Core::processRequestOutcome(PendingRequest& pending, const AttemptOutcome& outcome) {
   balancer::RetryPolicy::recordOutcome(pending, outcome);
   if (outcome.requestFinished || outcome.status == AttemptStatus::Ok) {
     admission_.recordResponse(pending, outcome.status);
-    return close(pending);
+    return finish(pending);
   }
   const double baseline = latencies_.baselineLatency(pending.request.classIndex);
-  if (!retries_.tryPayForRetry(pending, outcome, baseline))
-    return giveUp(pending, EndReason::RetryBudgetExhausted);
+  if (!retries_.tryTakeRetryTokenFor(pending, outcome, baseline))
+    return rejectOrFail(pending, EndReason::RetryBudgetExhausted);
   advance(pending);
 }
 
@@ -258,18 +259,18 @@
 void LoadBalancer::Core::onTick() {
   tickScheduled_ = false;
   for (const EndpointId id : busyEndpoints_) retrySilentAttempts(table_.at(id));
-  serveWaitingGroups();
+  resumeWaitingGroups();
   if (!busyEndpoints_.empty() || !waitingGroups_.empty()) scheduleTick();
 }
 
-void LoadBalancer::Core::serveWaitingGroups() {
+void LoadBalancer::Core::resumeWaitingGroups() {
   for (auto it = waitingGroups_.begin(); it != waitingGroups_.end();) {
     ReplicaGroup& group = table_.group(*it);
-    if (!group.waiting.empty()) {
-      serveWaiting(group);
+    if (!group.waitingRequests.empty()) {
+      resumeWaiting(group);
       writes_.discoverPrimary(group);
     }
-    it = group.waiting.empty() ? waitingGroups_.erase(it) : std::next(it);
+    it = group.waitingRequests.empty() ? waitingGroups_.erase(it) : std::next(it);
   }
 }
 
--- a/src/balancer/core.hpp
+++ b/src/balancer/core.hpp
@@ -1,4 +1,4 @@
-// The parts of a LoadBalancer, and the requests that are owed a final response.
+// The implementation of LoadBalancer: its components, and the requests without a final response.
 #pragma once
 
 #include <optional>
@@ -13,15 +13,15 @@
 
 namespace stonebay {
 
-/// Joins the parts: events in, actions out. Owns the pending requests.
+/// Passes each event to the components and carries out their decisions. Owns the pending requests.
 class LoadBalancer::Core {
  public:
   Core(const Settings& settings, std::uint64_t seed, ActionSink& sink);
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
 
-  /// Sets the present of the event that follows.
-  Core& at(TimePoint now);
+  /// Sets the time of the event that follows.
+  Core& setTime(TimePoint now);
 
   void onEndpointList(EndpointListKind kind, const std::vector<EndpointUpdate>& updates);
   void onRequest(const Request& request);
@@ -44,28 +44,37 @@
   using InFlightAttempt = balancer::InFlightAttempt;
 
   PendingRequest* findPending(RequestId id);
-  /// Takes the next step of a request that has no attempt out: an attempt, a wait, or its final response.
+  /// Takes the next step of a request without an attempt in flight: sends an attempt, waits, or ends the
+  /// request. Does nothing while an attempt is in flight.
   void advance(PendingRequest& pending);
   void send(PendingRequest& pending, Endpoint& endpoint);
-  /// Until something changes in the group, for `limit` at most.
+  /// Lets the request wait until the state of its replica group changes, but not longer than `limit`.
   void wait(PendingRequest& pending, Duration limit);
-  void serveWaiting(balancer::ReplicaGroup& group);
-  void onWaitOver(RequestId id);
-  void giveUp(PendingRequest& pending, EndReason reason);
-  void close(PendingRequest& pending);
+  /// Takes the next step of all waiting requests of the group.
+  void resumeWaiting(balancer::ReplicaGroup& group);
+  void onWaitExpired(RequestId id);
+  /// Ends a request with a rejection if that is safe, otherwise with a failure.
+  void rejectOrFail(PendingRequest& pending, EndReason reason);
+  /// Cancels the attempts in flight and erases the request.
+  void finish(PendingRequest& pending);
 
-  std::optional<InFlightAttempt> takeInFlight(Endpoint& endpoint, const AttemptOutcome& outcome);
-  /// What an outcome says of its endpoint, whether or not the request is still pending.
-  void learn(Endpoint& endpoint, const InFlightAttempt& attempt, const AttemptOutcome& outcome);
-  /// What an outcome means for its request.
-  void settle(PendingRequest& pending, const AttemptOutcome& outcome);
+  /// Removes the attempt from its endpoint. Returns std::nullopt if it is not in flight there.
+  std::optional<InFlightAttempt> removeInFlight(Endpoint& endpoint, const AttemptOutcome& outcome);
+  /// Updates the state of the endpoint, whether or not the request is still pending.
+  void recordEndpointOutcome(Endpoint& endpoint, const InFlightAttempt& attempt,
+                             const AttemptOutcome& outcome);
+  /// Ends the request or takes its next step.
+  void processRequestOutcome(PendingRequest& pending, const AttemptOutcome& outcome);
 
-  /// Runs only while attempts are in flight or requests wait.
+  /// Schedules the next tick if none is scheduled. Ticks continue only while attempts are in flight or
+  /// requests wait.
   void scheduleTick();
   void onTick();
-  void serveWaitingGroups();
+  void resumeWaitingGroups();
+  /// Cancels the attempts that the endpoint has left unanswered for too long, so that they are retried.
   void retrySilentAttempts(Endpoint& endpoint);
-  /// Cancels an attempt whose request can go elsewhere; its outcome brings the next attempt.
+  /// Cancels an attempt if its request may be sent to another endpoint. The next attempt is sent when the
+  /// outcome of the cancelled one arrives.
   void cancelForRetry(const InFlightAttempt& inFlight);
 
   balancer::Context context_;
@@ -82,10 +91,10 @@
   balancer::GossipPolicy gossip_;
   balancer::DiscoveryPoller poller_;
   std::unordered_map<RequestId, PendingRequest> pending_;
-  std::set<EndpointId> busyEndpoints_;  ///< with attempts in flight
-  std::set<GroupId> waitingGroups_;     ///< with requests that wait, and some that had
+  std::set<EndpointId> busyEndpoints_;  ///< endpoints with attempts in flight
+  std::set<GroupId> waitingGroups_;     ///< groups in which requests wait, or have waited since the last tick
   bool tickScheduled_ = false;
-  bool started_ = false;  ///< the first list has come
+  bool started_ = false;  ///< the first endpoint list has arrived
 };
 
 }  // namespace stonebay
--- a/src/balancer/discovery_polling.hpp
+++ b/src/balancer/discovery_polling.hpp
@@ -1,4 +1,4 @@
-// When discovery is polled for the endpoint list.
+// Polling of discovery for the endpoint list.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,33 @@
 
 namespace stonebay::balancer {
 
-/// Polls where lists do not come by themselves. Each proxy polls at a time of its own, spread over the longer
-/// the more proxies there are: discovery serves but a few at once.
+/// Polls for the endpoint list with DiscoveryMode::Poll. The polls of different proxies are spread over a
+/// time that grows with the number of proxies, because discovery can serve only a few at a time.
 class DiscoveryPoller {
  public:
   explicit DiscoveryPoller(const Context& context) : context_(context) {}
 
-  /// The first poll.
+  /// Polls for the first time; with many proxies after a delay.
   void start();
-  /// A list came, or a poll failed: that is polled for again after a pause that doubles with each failure.
+  /// Called when a list arrived, or a poll or watch failed. After a failure, schedules another poll with a
+  /// delay that doubles with each failure.
   void onList(EndpointListKind kind);
-  /// The timer of a poll; ignored where a later one has been scheduled.
+  /// Called when the timer of a poll expired. Ignored if a later poll has been scheduled or no poll is
+  /// pending.
   void onTimer(std::uint64_t generation);
 
  private:
-  Duration jitter() const;
-  void schedule(Duration longest);
+  /// Returns the time over which the polls of all proxies are spread.
+  Duration jitterWindow() const;
+  /// Schedules a poll after a pseudo-random delay between half of `maxDelay` and `maxDelay`.
+  void schedule(Duration maxDelay);
+  /// Polls, and schedules another poll for the case that this one is not answered.
   void poll();
 
   const Context& context_;
-  bool polling_ = false;
+  bool pollPending_ = false;  ///< a poll is scheduled or has not been answered
   Duration backoff_ = kMinPollBackoff;
-  std::uint64_t generation_ = 0;
+  std::uint64_t generation_ = 0;  ///< number of the latest timer
 };
 
 }  // namespace stonebay::balancer
--- a/src/balancer/duration_math.hpp
+++ b/src/balancer/duration_math.hpp
@@ -1,4 +1,4 @@
-// Arithmetic that the decisions share.
+// Arithmetic and container helpers for the decision module.
 #pragma once
 
 #include <algorithm>
@@ -10,20 +10,21 @@
 
 namespace stonebay::balancer {
 
-/// A class index or an attempt number as an index into a vector.
+/// Converts a class index or an attempt number to an index into a vector.
 inline std::size_t index(int number) { return static_cast<std::size_t>(number); }
 
-/// How many times `divisor` goes into `dividend`.
+/// Returns `dividend` divided by `divisor`.
 inline double ratio(Duration dividend, Duration divisor) {
   return static_cast<double>(dividend.count()) / static_cast<double>(divisor.count());
 }
 
-/// The duration times the factor, rounded towards zero.
+/// Returns the duration multiplied by the factor, rounded towards zero.
 inline Duration scaled(Duration duration, double factor) {
   return Duration(static_cast<std::int64_t>(static_cast<double>(duration.count()) * factor));
 }
 
-/// An average that follows its values: each moves it by `weight` of the difference. 0: no value has come.
+/// Returns the exponential moving average after a new value with the given weight. An average of 0 means that
+/// there was no value before.
 inline double smoothed(double average, double value, double weight) {
   return average > 0 ? average + weight * (value - average) : value;
 }
--- a/src/balancer/endpoint_table.cpp
+++ b/src/balancer/endpoint_table.cpp
@@ -43,7 +43,7 @@
   }
   if (role == Role::Primary || wasPrimary) {
     group.primary = role == Role::Primary ? endpoint.info.id : 0;
-    group.discoveryExhaustedIn = 0;
+    group.discoveryExhaustedVersion = 0;
   }
   endpoint.roleObservedAt = observedAt;
 }
@@ -54,7 +54,8 @@
 }
 
 void EndpointTable::observeOutcome(Endpoint& endpoint, const AttemptOutcome& outcome, bool isWrite) {
-  constexpr Duration kRounding = milliseconds(1);  // positions are whole ms; a commit was rounded up
+  // Positions are in whole milliseconds, and the position of a commit is rounded up.
+  constexpr Duration kRounding = milliseconds(1);
   const AttemptStatus status = outcome.status;
   const bool isAnswer =
       status == AttemptStatus::Ok || status == AttemptStatus::TooStale || status == AttemptStatus::Rejected;
@@ -80,12 +81,13 @@
                                            const std::vector<EndpointUpdate>& updates) {
   ++listVersion_;
   std::set<GroupId> changed;
-  if (kind != EndpointListKind::Delta) markAbsentAsGone(updates, changed);
+  if (kind != EndpointListKind::Delta) markUnlistedRemoved(updates, changed);
   for (const EndpointUpdate& update : updates) applyUpdate(update, changed);
   return changed;
 }
 
-void EndpointTable::markAbsentAsGone(const std::vector<EndpointUpdate>& updates, std::set<GroupId>& changed) {
+void EndpointTable::markUnlistedRemoved(const std::vector<EndpointUpdate>& updates,
+                                        std::set<GroupId>& changed) {
   std::unordered_set<EndpointId> listed;
   for (const EndpointUpdate& update : updates) listed.insert(update.id);
   for (auto& [id, endpoint] : endpoints_) {
@@ -142,7 +144,8 @@
   if (ids.empty()) emptyGroups_.insert(endpoint.info.group);
 }
 
-// The weakest evidence of a role: anything that comes from an endpoint itself replaces it.
+// The role in the list is the weakest evidence: it is used only if no primary is known and the endpoint has
+// not stated a role itself.
 void EndpointTable::observeListedRole(Endpoint& endpoint) {
   ReplicaGroup& group = *endpoint.replicaGroup;
   if (!isRoutable(endpoint)) {
@@ -162,7 +165,7 @@
     if (endpoint.position != kNever) endpoint.position = std::max(endpoint.position + shift, TimePoint());
     if (endpoint.info.started != TimePoint())
       endpoint.info.started = std::max(endpoint.info.started + shift, TimePoint(Duration(1)));
-    // Evidence of roles is as old as the positions that came with it.
+    // roleObservedAt may come from a position, so it has to be shifted, too.
     if (endpoint.roleObservedAt != kNever)
       endpoint.roleObservedAt = std::clamp(endpoint.roleObservedAt + shift, TimePoint(), context_.now);
     endpoint.positionLags.clear();
--- a/src/balancer/endpoint_table.hpp
+++ b/src/balancer/endpoint_table.hpp
@@ -1,4 +1,4 @@
-// Who is known: the endpoints, their groups, roles and positions.
+// The known endpoints, with their replica groups, roles and positions.
 #pragma once
 
 #include <cstdint>
@@ -10,49 +10,56 @@
 
 namespace stonebay::balancer {
 
-/// Owns the records of endpoints and replica groups, and what the endpoint lists say of them.
+/// Owns the records of endpoints and replica groups, and updates them from endpoint lists and outcomes.
 class EndpointTable {
  public:
   explicit EndpointTable(const Context& context) : context_(context) {}
 
+  /// Returns nullptr if the endpoint is unknown.
   Endpoint* find(EndpointId id);
   Endpoint& at(EndpointId id) { return endpoints_.at(id); }
   const Endpoint& at(EndpointId id) const { return endpoints_.at(id); }
   std::map<EndpointId, Endpoint>& endpoints() { return endpoints_; }
   std::map<GroupId, ReplicaGroup>& groups() { return groups_; }
-  /// Clients may name groups that have no endpoint: such a group is created.
+  /// Returns the group; creates it if it is unknown, since clients may name groups without endpoints.
   ReplicaGroup& group(GroupId id);
-  /// Returns the groups that the list has changed.
+  /// Applies a list of endpoints. Returns the groups that it may have changed.
   std::set<GroupId> applyList(EndpointListKind kind, const std::vector<EndpointUpdate>& updates);
-  /// The positions and starts that came so far were converted by a clock that was wrong by so much.
+  /// Adds `shift` to all positions and start times received so far; see LoadBalancer::shiftUnixTimes().
   void shiftUnixTimes(Duration shift);
-  /// Removes the endpoints that have departed and been quiet for long; gives their ids. What is in flight, a
-  /// health check included, must still find its endpoint.
+  /// Removes the endpoints that left the list at least kDepartedRetention ago and returns their ids. Keeps
+  /// those with an attempt or a health check in flight, whose outcome needs the record.
   std::vector<EndpointId> removeDeparted();
 
-  /// False for what drains or is gone, from the very event that reports it.
+  /// Returns whether the endpoint may receive requests: it is not draining, and not removed unless
+  /// Settings::removedEndpointsAcceptRequests is set.
   bool isRoutable(const Endpoint& endpoint) const;
-  /// The group's primary, if one is known and may be sent requests.
+  /// Returns the group's primary, or nullptr if it is unknown or may not receive requests.
   Endpoint* routablePrimary(const ReplicaGroup& group);
-  /// Whether the search for the group's primary has tried all endpoints of the present list in vain.
+  /// Returns whether primary discovery has tried all endpoints of the current list without success.
   bool isDiscoveryExhausted(const ReplicaGroup& group) const {
-    return group.discoveryExhaustedIn == listVersion_;
+    return group.discoveryExhaustedVersion == listVersion_;
   }
-  void setDiscoveryExhausted(ReplicaGroup& group) const { group.discoveryExhaustedIn = listVersion_; }
-  /// The most routable endpoints that any group has had.
+  void setDiscoveryExhausted(ReplicaGroup& group) const { group.discoveryExhaustedVersion = listVersion_; }
+  /// Returns the largest number of routable endpoints that any group has ever had.
   int largestGroupSize() const { return largestGroupSize_; }
   void updateLargestGroupSize(const ReplicaGroup& group);
+  /// Returns whether the last load report of the endpoint is younger than kMaxLoadReportAge.
   bool hasFreshLoadReport(const Endpoint& endpoint) const;
 
-  /// The newest evidence of a role wins, however it came. A report is as old as the position in it.
+  /// Records the role that an endpoint had at `observedAt`, unless a newer role is known. The source of the
+  /// information does not matter. A load report is as old as the position in it.
   void observeRole(Endpoint& endpoint, Role role, TimePoint observedAt);
+  /// Records that the endpoint has applied all commits up to `position`.
   void observePosition(Endpoint& endpoint, TimePoint position);
-  /// What the end of an attempt says of its endpoint's role and position, and when it answered.
+  /// Records the role, the position and the time of the answer from the outcome of an attempt.
   void observeOutcome(Endpoint& endpoint, const AttemptOutcome& outcome, bool isWrite);
+  /// Records a fault of the endpoint's group; see kFaultWindow.
   void recordFault(const Endpoint& endpoint) { endpoint.replicaGroup->lastFaultAt = context_.now; }
 
  private:
-  void markAbsentAsGone(const std::vector<EndpointUpdate>& updates, std::set<GroupId>& changed);
+  /// Marks the endpoints that a complete list does not contain as removed.
+  void markUnlistedRemoved(const std::vector<EndpointUpdate>& updates, std::set<GroupId>& changed);
   void applyUpdate(const EndpointUpdate& update, std::set<GroupId>& changed);
   void setDeparted(Endpoint& endpoint);
   void removeFromGroup(const Endpoint& endpoint);
@@ -64,9 +71,9 @@
   const Context& context_;
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<GroupId, ReplicaGroup> groups_;
-  std::set<EndpointId> departed_;  // those whose departedAt is set
-  std::set<GroupId> emptyGroups_;  // those without endpoints
-  std::uint64_t listVersion_ = 1;  // counts the lists
+  std::set<EndpointId> departed_;  // endpoints with departedAt
+  std::set<GroupId> emptyGroups_;  // groups without endpoints
+  std::uint64_t listVersion_ = 1;  // number of lists applied, plus 1
   int largestGroupSize_ = 1;
 };
 
--- a/src/balancer/fixed_window.hpp
+++ b/src/balancer/fixed_window.hpp
@@ -1,4 +1,4 @@
-// A window over the latest values of a series.
+// A container for the latest values of a series.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 template <typename Value, std::size_t Capacity>
 class FixedWindow {
  public:
-  /// Adds a value; drops the oldest one where the window is full.
+  /// Adds a value; removes the oldest one if the window is full.
   void push(const Value& value) {
     if (values_.size() == Capacity) values_.erase(values_.begin());
     values_.push_back(value);
--- a/src/balancer/gossip_policy.cpp
+++ b/src/balancer/gossip_policy.cpp
@@ -19,11 +19,12 @@
 
 bool GossipPolicy::mayBroadcast(const Endpoint& endpoint) const {
   if (!context_.settings.gossipAllowed) return false;
-  const auto isOver = [&](TimePoint since, Duration pause) {
-    return since == kNever || context_.now - since >= pause;
+  const auto hasElapsed = [&](TimePoint since, Duration interval) {
+    return since == kNever || context_.now - since >= interval;
   };
-  const Duration ownPause = kBroadcastInterval * context_.settings.proxyCount / 2;
-  return isOver(endpoint.broadcast.last, kBroadcastInterval) && isOver(endpoint.broadcast.lastOwn, ownPause);
+  const Duration ownInterval = kBroadcastInterval * context_.settings.proxyCount / 2;
+  return hasElapsed(endpoint.broadcast.last, kBroadcastInterval) &&
+         hasElapsed(endpoint.broadcast.lastOwn, ownInterval);
 }
 
 bool GossipPolicy::observeGossip(Endpoint& endpoint, const GossipMessage& message) {
--- a/src/balancer/gossip_policy.hpp
+++ b/src/balancer/gossip_policy.hpp
@@ -1,4 +1,4 @@
-// What proxies tell one another of endpoints.
+// The exchange of load reports between proxies.
 #pragma once
 
 #include <vector>
@@ -7,16 +7,18 @@
 
 namespace stonebay::balancer {
 
-/// A proxy of many hears from each endpoint once in many seconds, all of them together many times a second.
-/// Whoever has a report broadcasts it, the others keep quiet for a while; and none broadcasts more than twice
-/// its part, so that not all of them do where messages are lost.
+/// Broadcasts load reports and applies those of other proxies. One of many proxies receives a report of a
+/// given endpoint only every few seconds, but all proxies together receive many per second. A proxy that
+/// receives a report broadcasts it, and the other proxies then do not broadcast that endpoint for
+/// kBroadcastInterval. In addition, each proxy limits itself to twice its share of the broadcasts, because
+/// otherwise all of them would broadcast when messages are lost.
 class GossipPolicy {
  public:
   GossipPolicy(const Context& context, EndpointTable& table) : context_(context), table_(table) {}
 
-  /// A load report that came from the endpoint itself; its values may be none.
+  /// Applies a load report that arrived from the endpoint, and may broadcast it. `values` may be empty.
   void observeReport(Endpoint& endpoint, const std::vector<float>& values);
-  /// False: the message says nothing that counts.
+  /// Applies a message. Returns false and ignores the message if its position is in the future.
   bool observeGossip(Endpoint& endpoint, const GossipMessage& message);
 
  private:
--- a/src/balancer/health_checker.cpp
+++ b/src/balancer/health_checker.cpp
@@ -15,8 +15,9 @@
   return check.pending && context_.now - check.sentAt <= kHealthCheckTimeout;
 }
 
-// Recent enough for a choice: where endpoints serve stale reads, a proven position; where reports say their
-// load, or for a write that must not be lost, any response within the class's latency objective.
+// If endpoints serve stale reads, their position must prove that the data is new enough. If loads are
+// reported, the endpoint must have responded within kMaxLoadReportAge. A write must not be lost to a failed
+// endpoint, so that the endpoint must have responded within the latency objective of the class.
 bool HealthChecker::hasRecentEvidence(const PendingRequest& pending, const Endpoint& endpoint) const {
   const bool servesStale = context_.settings.staleReadPolicy == StaleReadPolicy::Serve;
   if (servesStale && isKnownStale(endpoint, consistency_.requiredPosition(pending))) return false;
@@ -28,7 +29,7 @@
 
 bool HealthChecker::checkBeforeSend(PendingRequest& pending, std::vector<Endpoint*> next) {
   if (!context_.canCheckHealth() || pending.healthChecksSent) return false;
-  // No replica's answer can be new enough for a strong read.
+  // A strong read requires a position as new as the request, which no replica can have reached.
   if (context_.classOf(pending).consistency == Consistency::Strong) return false;
   if (!context_.isWrite(pending)) {
     const Endpoint* const primary = table_.find(table_.group(pending.request.group).primary);
@@ -54,12 +55,13 @@
 
 void HealthChecker::recordAnswer(Endpoint& endpoint) const {
   endpoint.lastResponseAt = context_.now;
-  // Guards against checking the same lagging endpoints for ever: a check in vain counts as use.
+  // A health check that shows too old a position counts as use of the endpoint. Otherwise the same lagging
+  // endpoints would remain the least recently used ones, and no others would be checked.
   const TimePoint tolerated = context_.now - consistency_.tightestStaleness();
   if (endpoint.position < tolerated) endpoint.lastUsedAt = context_.now;
 }
 
-bool HealthChecker::mayServeWaiting(const ReplicaGroup& group) const {
+bool HealthChecker::mayResumeWaiting(const ReplicaGroup& group) const {
   const auto mayAnswer = [&](EndpointId id) { return isAwaited(table_.at(id)); };
   return !loadIsReported_ || std::none_of(group.endpoints.begin(), group.endpoints.end(), mayAnswer);
 }
--- a/src/balancer/latency_model.cpp
+++ b/src/balancer/latency_model.cpp
@@ -83,9 +83,9 @@
 }
 
 void LatencyModel::recordFailure(Endpoint& endpoint, const InFlightAttempt& attempt, AttemptStatus status) {
-  const bool byLoad = status == AttemptStatus::Timeout && !isPresumedLost(endpoint, attempt);
+  const bool isCausedByLoad = status == AttemptStatus::Timeout && !isPresumedLost(endpoint, attempt);
   const Duration deadline = context_.settings.classes[index(attempt.classIndex)].deadline;
-  addSample(endpoint, attempt, byLoad ? static_cast<double>(deadline.count()) : kNeverAnswered);
+  addSample(endpoint, attempt, isCausedByLoad ? static_cast<double>(deadline.count()) : kNeverAnswered);
 }
 
 double LatencyModel::convert(double latency, int fromClass, int toClass) const {
@@ -108,7 +108,7 @@
     }
   };
   addAll(recentSamples_);
-  tally.condense(classes_[index(classIndex)].mean * load / kEndpointConcurrency);
+  tally.collapseToOneSample(classes_[index(classIndex)].mean * load / kEndpointConcurrency);
   addAll(samples);
   for (const InFlightAttempt& attempt : endpoint.inFlight) {
     const auto age = static_cast<double>((context_.now - attempt.sentAt).count());
--- a/src/balancer/latency_model.hpp
+++ b/src/balancer/latency_model.hpp
@@ -1,4 +1,4 @@
-// How long endpoints take, and how likely an answer is to be late.
+// Estimates of the latency of endpoints and of the probability that a response is late.
 #pragma once
 
 #include <vector>
@@ -9,63 +9,70 @@
 
 /// Which failures count as misses in an estimate.
 enum class MissScope {
-  All,           ///< attempts that were never answered included
-  QueueingOnly,  ///< only what the endpoint's load causes
+  All,           ///< all failures, including attempts that were never answered
+  QueueingOnly,  ///< only failures that the endpoint's load causes
 };
 
-/// What is to be expected of one attempt.
+/// The expected result of one attempt.
 struct LatencyEstimate {
-  double missProbability;  ///< of no answer within the budget
+  double missProbability;  ///< probability that there is no response within the budget
   double expectedLatency;  ///< microseconds
 };
 
-/// Owns the latencies of request classes and endpoints.
+/// Estimates latencies and loads. Owns the latency statistics of the request classes.
 class LatencyModel {
  public:
   LatencyModel(const Context& context, const EndpointTable& table, const SlowStart& slowStart)
       : context_(context), table_(table), slowStart_(slowStart), classes_(context.settings.classes.size()) {}
 
-  /// Of a class of requests, smoothed; 0: not observed yet.
+  /// Returns the smoothed mean latency of a request class; 0 means that none has been observed.
   Duration meanLatency(int classIndex) const;
-  /// The low latency of a class, microseconds; 0: not observed yet.
+  /// Returns the latency of a class at low load in microseconds; 0 means that none has been observed.
   double baselineLatency(int classIndex) const { return classes_[index(classIndex)].baseline; }
-  /// The mean latency of all classes as a share of this one's, at most 1: the part of a request count that a
-  /// class of heavy requests may use.
+  /// Returns the mean latency of all classes divided by that of this class, but at most 1. A limit on the
+  /// number of requests is multiplied by it, so that fewer requests of an expensive class are admitted.
   double costShare(int classIndex) const;
-  /// No answer for so long is a symptom.
+  /// Returns the time without a response after which an endpoint is suspected to have failed.
   Duration silenceTimeout(int classIndex) const;
-  /// Whether an attempt is lost rather than queued: it is out for far longer than usual, and what was sent in
-  /// the younger half of its age has been answered already. Such attempts say nothing of an endpoint's load.
+  /// Returns whether an attempt is lost rather than queued: it exceeds the silence timeout, and an attempt
+  /// that was sent in the second half of its time in flight has been answered. Lost attempts do not count as
+  /// load.
   bool isPresumedLost(const Endpoint& endpoint, const InFlightAttempt& attempt) const;
 
-  /// Requests at an endpoint, as a warm endpoint would count them: this proxy's own, or what its last report
-  /// said of all proxies'. An old report counts for less than the group's mean, so that not all proxies
-  /// follow the same one.
+  /// Returns the number of requests in flight at an endpoint, divided by its capacity while it warms up. It
+  /// is the number of this proxy's attempts, or the number for all proxies by the endpoint's last report if
+  /// that is higher. The older a report, the closer the number is to the mean of the reports of the group, so
+  /// that not all proxies choose the same endpoint because of the same report. Without a report it is the
+  /// mean.
   double loadOf(const Endpoint& endpoint) const;
+  /// Returns whether there is no request at the endpoint, as far as is known.
   bool isIdle(const Endpoint& endpoint) const { return endpoint.inFlight.empty() && loadOf(endpoint) < 1; }
 
-  /// False for an attempt that succeeded, was rejected or cancelled or never went out, and for a write that
-  /// met a replica.
+  /// Returns whether the outcome is a failure of the endpoint. That is false for an attempt that succeeded,
+  /// was rejected, cancelled or not sent, and for a write that was sent to a replica.
   bool countsAsFailure(const InFlightAttempt& attempt, AttemptStatus status) const;
-  /// `attempt` is no longer in flight.
+  /// Adds the outcome to the statistics. `attempt` must have been removed from the attempts in flight.
   void recordOutcome(Endpoint& endpoint, const InFlightAttempt& attempt, AttemptStatus status);
 
-  /// The share of a window of samples that would miss the budget now. Samples are converted to this class and
-  /// to the endpoint's present load. Recent samples of all endpoints together count as one sample, which
-  /// stands in where the window is thin. Attempts that are out for longer than the budget count as misses
-  /// already: an endpoint that hangs keeps its good samples, its silence is the evidence.
+  /// Estimates the result of an attempt that is sent now, from a window of samples. The samples are converted
+  /// to the given class and to the current load of the endpoint. The recent samples of all endpoints together
+  /// count as one sample, which matters most when the window contains few. Attempts that have been in flight
+  /// for longer than the budget count as misses, because an endpoint that hangs adds no samples to its good
+  /// ones.
   LatencyEstimate estimate(const Endpoint& endpoint, const LatencyWindow& samples, int classIndex,
                            Duration budget, MissScope scope) const;
 
  private:
   struct ClassLatency {
-    double mean = 0;      ///< microseconds; 0: not observed yet
-    double baseline = 0;  ///< the same
+    double mean = 0;      ///< microseconds; 0 means that none has been observed
+    double baseline = 0;  ///< microseconds; follows lower latencies faster than higher ones
   };
 
   void recordAnswer(Endpoint& endpoint, const InFlightAttempt& attempt);
-  /// A fast failure must not look fast: it counts as never answered, a timeout as its deadline at that load.
+  /// Adds a failure as never answered, so that a fast failure does not look like a low latency. A timeout
+  /// that was caused by load is added with the deadline of its class.
   void recordFailure(Endpoint& endpoint, const InFlightAttempt& attempt, AttemptStatus status);
+  /// Converts a latency between classes, in proportion to their means.
   double convert(double latency, int fromClass, int toClass) const;
   void addSample(Endpoint& endpoint, const InFlightAttempt& attempt, double latency);
 
@@ -73,7 +80,8 @@
   const EndpointTable& table_;
   const SlowStart& slowStart_;
   std::vector<ClassLatency> classes_;
-  FixedWindow<LatencySample, 2 * kLatencyWindowSize> recentSamples_;  ///< of all endpoints
+  /// Of all endpoints, without those that were never answered or known to be stale.
+  FixedWindow<LatencySample, 2 * kLatencyWindowSize> recentSamples_;
 };
 
 }  // namespace stonebay::balancer
--- a/src/balancer/load_balancer.cpp
+++ b/src/balancer/load_balancer.cpp
@@ -11,25 +11,31 @@
 
 void LoadBalancer::onEndpointList(TimePoint now, EndpointListKind kind,
                                   const std::vector<EndpointUpdate>& updates) {
-  core_->at(now).onEndpointList(kind, updates);
+  core_->setTime(now).onEndpointList(kind, updates);
+}
+void LoadBalancer::onRequest(TimePoint now, const Request& request) {
+  core_->setTime(now).onRequest(request);
 }
-void LoadBalancer::onRequest(TimePoint now, const Request& request) { core_->at(now).onRequest(request); }
 void LoadBalancer::onAttemptOutcome(TimePoint now, const AttemptOutcome& outcome) {
-  core_->at(now).onAttemptOutcome(outcome);
+  core_->setTime(now).onAttemptOutcome(outcome);
 }
-void LoadBalancer::onClientLeft(TimePoint now, RequestId id) { core_->at(now).onClientLeft(id); }
+void LoadBalancer::onClientLeft(TimePoint now, RequestId id) { core_->setTime(now).onClientLeft(id); }
 void LoadBalancer::onHealthCheck(TimePoint now, const HealthCheckResult& result) {
-  core_->at(now).onHealthCheck(result);
+  core_->setTime(now).onHealthCheck(result);
+}
+void LoadBalancer::onTimer(TimePoint now, TimerToken token) { core_->setTime(now).onTimer(token); }
+void LoadBalancer::onGossip(TimePoint now, const GossipMessage& message) {
+  core_->setTime(now).onGossip(message);
 }
-void LoadBalancer::onTimer(TimePoint now, TimerToken token) { core_->at(now).onTimer(token); }
-void LoadBalancer::onGossip(TimePoint now, const GossipMessage& message) { core_->at(now).onGossip(message); }
 bool LoadBalancer::isStillEligible(TimePoint now, RequestId id, EndpointId endpoint) {
-  return core_->at(now).isStillEligible(id, endpoint);
+  return core_->setTime(now).isStillEligible(id, endpoint);
 }
 std::vector<EndpointId> LoadBalancer::removeDeparted(TimePoint now) {
-  return core_->at(now).removeDeparted();
+  return core_->setTime(now).removeDeparted();
+}
+void LoadBalancer::shiftUnixTimes(TimePoint now, Duration shift) {
+  core_->setTime(now).shiftUnixTimes(shift);
 }
-void LoadBalancer::shiftUnixTimes(TimePoint now, Duration shift) { core_->at(now).shiftUnixTimes(shift); }
 void LoadBalancer::setPositionEpoch(TimePoint epoch) { core_->setPositionEpoch(epoch); }
 
 }  // namespace stonebay
--- a/src/balancer/miss_tally.hpp
+++ b/src/balancer/miss_tally.hpp
@@ -1,11 +1,12 @@
-// Counts latencies against a budget.
+// A counter of latencies that exceed a limit.
 #pragma once
 
 #include <algorithm>
 
 namespace stonebay::balancer {
 
-/// Counts the latencies that miss a limit. All are in microseconds; an infinite one was never answered.
+/// Counts latencies and those among them that exceed a limit. All are in microseconds; an infinite latency
+/// means that there was no response.
 class MissTally {
  public:
   explicit MissTally(double limit) : limit_(limit) {}
@@ -15,15 +16,16 @@
     total_ += std::min(latency, kMaxMultiple * limit_);
     count_ += 1;
   }
-  /// Makes one sample of all that was counted; of `fallback`, as one that is in time, where nothing was.
-  void condense(double fallback) {
+  /// Replaces all latencies counted so far by a single one with their mean and their share of misses. If none
+  /// were counted, that is `fallback`, counted as in time.
+  void collapseToOneSample(double fallback) {
     total_ = count_ > 0 ? total_ / count_ : fallback;
     late_ = count_ > 0 ? late_ / count_ : 0;
     count_ = 1;
   }
-  /// The share that missed; something must have been counted.
+  /// Returns the share of latencies over the limit. At least one latency must have been counted.
   double missShare() const { return late_ / count_; }
-  /// The mean latency, each latency counted with a few times the limit at most.
+  /// Returns the mean of the latencies, each of which counts as kMaxMultiple times the limit at most.
   double meanLatency() const { return total_ / count_; }
 
  private:
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -29,7 +29,7 @@
 void OutlierDetector::recordOutcome(Endpoint& endpoint, const InFlightAttempt& attempt,
                                     AttemptStatus status) {
   if (status == AttemptStatus::Ok) endpoint.ejection = Ejection();
-  // Full, draining or about to stop: the endpoint rests for a moment.
+  // The endpoint is full, draining or about to stop, so it receives no requests for a short time.
   if (status == AttemptStatus::Rejected)
     endpoint.ejection.until = std::max(endpoint.ejection.until, context_.now + kRejectionPause);
   if (!latencies_.countsAsFailure(attempt, status)) return;
@@ -39,18 +39,19 @@
 
 void OutlierDetector::recordFailure(Endpoint& endpoint, const InFlightAttempt& attempt,
                                     AttemptStatus status) {
-  // A failed connection with no answer since is a process that is gone; a reset alone is not.
+  // A connection that cannot be established, without an answer since the attempt was sent, means that the
+  // process is down. A reset alone does not.
   const bool isDown = status == AttemptStatus::ConnectFailed && endpoint.lastAnswerAt < attempt.sentAt;
   ++endpoint.ejection.consecutiveFailures;
   if (endpoint.ejection.consecutiveFailures < kConsecutiveFailuresToEject && !isDown) return;
-  const bool isBroken = status == AttemptStatus::ConnectFailed || status == AttemptStatus::Reset;
-  if (isBroken && context_.canCheckHealth()) {
-    // Where connections break at random a broken one says less than a health check, which decides.
+  const bool isConnectionFailure = status == AttemptStatus::ConnectFailed || status == AttemptStatus::Reset;
+  if (isConnectionFailure && context_.canCheckHealth()) {
+    // Connections may break at random, so a health check decides whether the endpoint has failed.
     if (!endpoint.healthCheck.pending && isServingOrFailingFast(endpoint)) healthChecker_.check(endpoint);
     return;
   }
   if (context_.now >= endpoint.ejection.until) eject(endpoint, status == AttemptStatus::Error);
-  // Its process is gone: whoever is the primary must say so anew.
+  // The process is down. If it was the primary, the role is unknown until an endpoint states it again.
   if (isDown) table_.observeRole(endpoint, Role::Unknown, context_.now);
 }
 
@@ -61,7 +62,8 @@
   }
   if (endpoint.lastResponseAt >= endpoint.healthCheck.sentAt || !isServingOrFailingFast(endpoint)) return;
   eject(endpoint, false);
-  // Connections failed before: its process is gone, and whoever is the primary must say so anew.
+  // Connections had failed before, so the process is down. If it was the primary, the role is unknown until
+  // an endpoint states it again.
   if (endpoint.ejection.consecutiveFailures > 0) table_.observeRole(endpoint, Role::Unknown, context_.now);
 }
 
--- a/src/balancer/outlier_detection.hpp
+++ b/src/balancer/outlier_detection.hpp
@@ -1,4 +1,4 @@
-// Which endpoints are out of service: ejection after failures, and silence.
+// Detection of failed endpoints: ejection after failures or when responses are overdue.
 #pragma once
 
 #include "balancer/health_checker.hpp"
@@ -6,29 +6,34 @@
 
 namespace stonebay::balancer {
 
-/// Ejects endpoints that fail or fall silent, for a time that doubles with each ejection, and readmits them
-/// by one trial request at a time.
+/// Ejects endpoints that fail or stop responding, for a time that doubles with each ejection. After that time
+/// an endpoint receives one trial request at a time until one succeeds.
 class OutlierDetector {
  public:
   OutlierDetector(const Context& context, EndpointTable& table, const LatencyModel& latencies,
                   const HealthChecker& healthChecker)
       : context_(context), table_(table), latencies_(latencies), healthChecker_(healthChecker) {}
 
-  /// False while an endpoint is ejected, has a trial request out, or leaves a health check unanswered.
+  /// Returns false while an endpoint is ejected, has a trial request in flight, or has a health check in
+  /// flight that has exceeded kHealthCheckTimeout.
   bool isHealthy(const Endpoint& endpoint) const;
-  /// What an attempt's end says of the endpoint's health; `attempt` is no longer in flight.
+  /// Updates the health of an endpoint after an attempt. `attempt` must have been removed from the attempts
+  /// in flight.
   void recordOutcome(Endpoint& endpoint, const InFlightAttempt& attempt, AttemptStatus status);
+  /// Updates the health of an endpoint after a health check.
   void recordHealthCheck(Endpoint& endpoint, bool isAnswered);
-  /// Whether an attempt is to be given up, for its endpoint has answered nothing since it was sent, for
-  /// longer than the silence timeout. The endpoint is checked then: if that stays unanswered too it is
-  /// ejected, else that attempt alone is lost. Where nothing can be checked it is ejected at once. An
-  /// endpoint that still answers others has a heavy request, no more.
+  /// Returns whether an attempt should be abandoned because its endpoint has not answered any attempt since
+  /// it was sent, for longer than the silence timeout. The endpoint is then checked: if it does not respond
+  /// to the health check either, it is ejected; if it responds, only this attempt is lost. If health checks
+  /// are not possible, the endpoint is ejected without one. If the endpoint has answered other attempts
+  /// meanwhile, this attempt is merely slow and the function returns false.
   bool detectSilence(Endpoint& endpoint, const InFlightAttempt& attempt);
 
  private:
   void eject(Endpoint& endpoint, bool failingFast);
   void recordFailure(Endpoint& endpoint, const InFlightAttempt& attempt, AttemptStatus status);
-  /// Whether a failure is new evidence: of an ejected endpoint it is only where it was ejected for errors.
+  /// Returns whether a failure is new information: the endpoint is not ejected, or was ejected only because
+  /// of error responses.
   bool isServingOrFailingFast(const Endpoint& endpoint) const;
 
   const Context& context_;
--- a/src/balancer/replica_selection.cpp
+++ b/src/balancer/replica_selection.cpp
@@ -6,30 +6,33 @@
 
 namespace stonebay::balancer {
 
-// Adds candidates until their combined chance reaches the target.
+// Collects candidates and computes whether their joint probability of an answer in time reaches the target.
 class ReplicaSelector::SetBuilder {
  public:
-  // `leaveBestOut`: the set must reach the target without its best member, since there was a fault lately.
-  SetBuilder(bool leaveBestOut, std::vector<Candidate>& set) : leaveBestOut_(leaveBestOut), set_(set) {}
+  // With `excludeBest`, the set must reach the target without its best member, because a recent fault shows
+  // that even the best one may fail.
+  SetBuilder(bool excludeBest, std::vector<Candidate>& set) : excludeBest_(excludeBest), set_(set) {}
 
   void add(const Candidate& candidate) {
     const double miss = std::max(candidate.missProbability, kMinMissProbability);
     set_.push_back(candidate);
-    allMiss_ *= miss;
-    lowestMiss_ = std::min(lowestMiss_, miss);
+    jointMissProbability_ *= miss;
+    lowestMissProbability_ = std::min(lowestMissProbability_, miss);
   }
   bool reachesTarget() const {
-    const double relevant = leaveBestOut_ ? allMiss_ / std::max(lowestMiss_, kMinMissProbability) : allMiss_;
+    const double relevant =
+        excludeBest_ ? jointMissProbability_ / std::max(lowestMissProbability_, kMinMissProbability)
+                     : jointMissProbability_;
     return 1 - relevant >= kTargetProbability;
   }
 
  private:
   static constexpr double kMinMissProbability = 1e-9;
 
-  const bool leaveBestOut_;
+  const bool excludeBest_;
   std::vector<Candidate>& set_;
-  double allMiss_ = 1;
-  double lowestMiss_ = 1;
+  double jointMissProbability_ = 1;
+  double lowestMissProbability_ = 1;
 };
 
 std::vector<Endpoint*> ReplicaSelector::eligibleEndpoints(const PendingRequest& pending, Pool pool) {
@@ -42,20 +45,20 @@
     if (!retries_.mayAttempt(pending, endpoint)) continue;
     if (slowStart_.isWithinBudget(endpoint, pending.request.id, costShare)) eligible.push_back(&endpoint);
   }
-  sortByUse(eligible, consistency_.requiredPosition(pending) == kNever);
+  sortByLastUse(eligible, consistency_.requiredPosition(pending) == kNever);
   return eligible;
 }
 
-// Least recently used first. A send counts as use: by answers alone a burst would all go to one endpoint. A
-// read for which any data will do leaves the fresh endpoints to those that need them, so that a lag does not
-// spread.
-void ReplicaSelector::sortByUse(std::vector<Endpoint*>& endpoints, bool anyDataWillDo) const {
+// Least recently used first. Both sends and answers count as use; if only answers did, all reads of a burst
+// would be sent to the same endpoint. A read that accepts any data prefers lagging endpoints and leaves the
+// up-to-date ones to the reads that need them; otherwise its load would make these lag, too.
+void ReplicaSelector::sortByLastUse(std::vector<Endpoint*>& endpoints, bool acceptsAnyData) const {
   const auto isLagging = [&](const Endpoint* endpoint) {
     const auto& lags = endpoint->positionLags;
     return !lags.empty() && lags.back().age > consistency_.tightestStaleness();
   };
   std::sort(endpoints.begin(), endpoints.end(), [&](const Endpoint* left, const Endpoint* right) {
-    if (anyDataWillDo && isLagging(left) != isLagging(right)) return isLagging(left);
+    if (acceptsAnyData && isLagging(left) != isLagging(right)) return isLagging(left);
     return std::tie(left->lastUsedAt, left->tieBreaker) < std::tie(right->lastUsedAt, right->tieBreaker);
   });
 }
@@ -76,7 +79,7 @@
   return candidate;
 }
 
-// Endpoints that are too loaded for the read are passed over: the next in turn may be idle.
+// Endpoints with too much load for the read are skipped, because the next one in order may be idle.
 void ReplicaSelector::select(const PendingRequest& pending, Pool pool, ReadSet& set) {
   const ReplicaGroup& group = table_.group(pending.request.group);
   const TimePoint required = consistency_.requiredPosition(pending);
@@ -95,15 +98,15 @@
     else
       replicas.push_back(candidate);
   }
-  const bool faultLately = group.lastFaultAt != kNever && context_.now - group.lastFaultAt < kFaultWindow;
+  const bool hasRecentFault = group.lastFaultAt != kNever && context_.now - group.lastFaultAt < kFaultWindow;
   set.candidates.clear();
-  SetBuilder builder(faultLately, set.candidates);
+  SetBuilder builder(hasRecentFault, set.candidates);
   for (const Candidate& replica : replicas) {
     builder.add(replica);
     if (builder.reachesTarget()) break;
   }
-  const bool fallsShort = set.candidates.empty() || !builder.reachesTarget();
-  if (primary && !set.overloaded && fallsShort) builder.add(*primary);
+  const bool isBelowTarget = set.candidates.empty() || !builder.reachesTarget();
+  if (primary && !set.overloaded && isBelowTarget) builder.add(*primary);
   const auto isMorePromising = [](const Candidate& left, const Candidate& right) {
     return std::tie(left.missProbability, left.expectedLatency) <
            std::tie(right.missProbability, right.expectedLatency);
@@ -123,7 +126,7 @@
   ReadSet set;
   select(pending, Pool::Healthy, set);
   if (set.candidates.empty() && !set.overloaded && !pending.attemptedEndpoints.empty()) {
-    pending.attemptedEndpoints.clear();  // all have been attempted: another round
+    pending.attemptedEndpoints.clear();  // all have been attempted: start another round
     select(pending, Pool::Healthy, set);
   }
   if (set.candidates.empty()) select(pending, Pool::FailingFast, set);
@@ -131,12 +134,13 @@
     pending.attemptedEndpoints.clear();
     select(pending, Pool::FailingFast, set);
   }
-  if (set.candidates.empty()) return {set.overloaded ? Route::Action::GiveUp : Route::Action::Wait};
-  return routeTo(pending, set);
+  if (set.candidates.empty()) return {set.overloaded ? Route::Action::Shed : Route::Action::Wait};
+  return makeSendRoute(pending, set);
 }
 
-// The best one, and hedged requests to the others of the set where these are allowed and earned.
-Route ReplicaSelector::routeTo(const PendingRequest& pending, const ReadSet& set) {
+// Sends the read to the best candidate. The first attempt of an idempotent read is sent to further candidates
+// as well, if hedging is allowed and as far as its budget suffices.
+Route ReplicaSelector::makeSendRoute(const PendingRequest& pending, const ReadSet& set) {
   Route route{Route::Action::Send, {set.candidates.front().endpoint}};
   const bool isIdempotent = context_.classOf(pending).idempotency == Idempotency::Idempotent;
   if (!context_.settings.hedgingAllowed || !isIdempotent || !pending.attempts.empty()) return route;
--- a/src/balancer/replica_selection.hpp
+++ b/src/balancer/replica_selection.hpp
@@ -1,9 +1,9 @@
-// Which endpoints a read goes to.
+// Selection of the endpoints that a read is sent to.
 //
-// The mechanism is that of the paper on probabilistic replica selection: each read goes to the smallest set
-// of fresh-enough replicas, least recently used first, whose combined chance of an answer by the deadline,
-// weighted by each one's odds of being fresh enough, reaches a target. The first answer wins. The primary is
-// spared.
+// The mechanism is that of the paper on probabilistic replica selection. Each read is sent to the smallest
+// set of replicas, least recently used first, for which the probability that at least one of them answers by
+// the deadline reaches a target. The probability that a replica's data is new enough is part of the estimate.
+// The first answer is used. The primary is added only if the replicas do not reach the target.
 #pragma once
 
 #include <vector>
@@ -31,30 +31,34 @@
         outliers_(outliers),
         healthChecker_(healthChecker) {}
 
+  /// Returns the next step of a read without an attempt in flight.
   Route route(PendingRequest& pending);
-  /// Whether some endpoint could take the read now.
+  /// Returns whether the read could be sent to some endpoint now.
   bool hasAlternative(const PendingRequest& pending);
 
  private:
-  /// An endpoint that a read may go to.
+  /// An endpoint that a read may be sent to.
   struct Candidate {
     Endpoint* endpoint;
     double missProbability;
     double expectedLatency;  ///< microseconds
   };
-  /// Which endpoints may be chosen: those in service, or as a last resort those that fail fast.
+  /// The endpoints to choose from: healthy ones or, if none of these is suitable, those that were ejected
+  /// only because of error responses.
   enum class Pool { Healthy, FailingFast };
   struct ReadSet {
-    std::vector<Candidate> candidates;  ///< the most promising first
-    bool overloaded = false;            ///< some endpoint was left out for its load
+    std::vector<Candidate> candidates;  ///< the lowest miss probability first
+    bool overloaded = false;            ///< some endpoint was skipped because of its load
   };
   class SetBuilder;
 
+  /// Returns the endpoints that the read may be sent to, in order of preference.
   std::vector<Endpoint*> eligibleEndpoints(const PendingRequest& pending, Pool pool);
-  void sortByUse(std::vector<Endpoint*>& endpoints, bool anyDataWillDo) const;
+  void sortByLastUse(std::vector<Endpoint*>& endpoints, bool acceptsAnyData) const;
+  /// Selects a read set; `set.candidates` stays empty if no endpoint is suitable.
   void select(const PendingRequest& pending, Pool pool, ReadSet& set);
   Candidate evaluate(const PendingRequest& pending, Endpoint& endpoint, double freshness) const;
-  Route routeTo(const PendingRequest& pending, const ReadSet& set);
+  Route makeSendRoute(const PendingRequest& pending, const ReadSet& set);
 
   const Context& context_;
   EndpointTable& table_;
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The others are known not to have run.
+// With every other status the attempt is known not to have been executed.
 bool mayHaveExecuted(AttemptStatus status) {
   return status != AttemptStatus::Rejected && status != AttemptStatus::ConnectFailed &&
          status != AttemptStatus::NotSent && status != AttemptStatus::TooStale;
@@ -30,8 +30,10 @@
   return first->info.group == endpoint.info.group;
 }
 
-// Free: a rejection, stale data, an attempt that never went out, a cancelled one, an error that came at once.
-bool RetryPolicy::isFree(const Attempt& attempt, AttemptStatus status, double baselineLatency) const {
+// Attempts that were cancelled, rejected, too stale or not sent are exempt, as are failures within
+// kImmediateFailureShare of the baseline latency.
+bool RetryPolicy::isExemptFromRetryBudget(const Attempt& attempt, AttemptStatus status,
+                                          double baselineLatency) const {
   if (attempt.cancelled) return true;
   if (!mayHaveExecuted(status) && status != AttemptStatus::ConnectFailed) return true;
   const bool failed = status == AttemptStatus::Error || status == AttemptStatus::Reset ||
@@ -55,7 +57,7 @@
 
 void RetryPolicy::recordOutcome(PendingRequest& pending, const AttemptOutcome& outcome) {
   Attempt& attempt = pending.attempts[index(outcome.attempt)];
-  attempt.open = false;
+  attempt.inFlight = false;
   --pending.outstandingAttempts;
   if (outcome.status != AttemptStatus::ConnectFailed && outcome.status != AttemptStatus::NotSent)
     pending.reachedEndpoint = true;
@@ -66,11 +68,11 @@
   pending.maybeExecutedOn = attempt.endpoint;
 }
 
-bool RetryPolicy::tryPayForRetry(const PendingRequest& pending, const AttemptOutcome& outcome,
-                                 double baselineLatency) {
+bool RetryPolicy::tryTakeRetryTokenFor(const PendingRequest& pending, const AttemptOutcome& outcome,
+                                       double baselineLatency) {
   if (pending.outstandingAttempts > 0 || context_.now >= pending.request.deadline) return true;
   const Attempt& attempt = pending.attempts[index(outcome.attempt)];
-  return isFree(attempt, outcome.status, baselineLatency) || retryBudget_.tryTake();
+  return isExemptFromRetryBudget(attempt, outcome.status, baselineLatency) || retryBudget_.tryTake();
 }
 
 void RetryPolicy::recordArrival() {
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Which attempts a request may have, and what they cost.
+// Rules and budgets for retries and hedged requests.
 #pragma once
 
 #include <optional>
@@ -8,26 +8,26 @@
 
 namespace stonebay::balancer {
 
-/// Owns the retry and the hedging budget.
+/// Decides which attempts a request may have. Owns the retry budget and the hedging budget.
 class RetryPolicy {
  public:
   RetryPolicy(const Context& context, EndpointTable& table) : context_(context), table_(table) {}
 
-  /// Whether a request may be sent to an endpoint, by its idempotency and its earlier attempts.
+  /// Returns whether a request may be sent to an endpoint, given its idempotency and its earlier attempts.
   bool mayAttempt(const PendingRequest& pending, const Endpoint& endpoint);
-  /// Why a request with no attempt out may not have another one at all; nothing: it may.
+  /// Returns why a request may not have another attempt at any endpoint; std::nullopt if it may.
   std::optional<EndReason> reasonToStop(const PendingRequest& pending) const;
-  /// Whether an attempt that its endpoint leaves unanswered may be cancelled in favour of a retry.
+  /// Returns whether an unanswered attempt may be cancelled in order to retry it at another endpoint.
   bool mayCancelForRetry(const PendingRequest& pending, const Attempt& attempt) const;
 
-  /// Every request earns a part of a retry and of a hedged request.
+  /// Adds to both budgets the fraction of a token that each request earns.
   void recordArrival();
-  /// Notes of a request what the end of an attempt proves: whether it reached an endpoint, whether it may
-  /// have run.
+  /// Records in the request whether the attempt reached an endpoint and whether it may have been executed.
   static void recordOutcome(PendingRequest& pending, const AttemptOutcome& outcome);
-  /// Pays for the retry that follows an attempt's end. False: the budget is spent. `baselineLatency`: of the
-  /// class, microseconds.
-  bool tryPayForRetry(const PendingRequest& pending, const AttemptOutcome& outcome, double baselineLatency);
+  /// Takes a token for the retry that would follow the end of an attempt, if it needs one. Returns false if
+  /// the budget is exhausted. `baselineLatency` is that of the request's class in microseconds.
+  bool tryTakeRetryTokenFor(const PendingRequest& pending, const AttemptOutcome& outcome,
+                            double baselineLatency);
   bool tryTakeRetryToken() { return retryBudget_.tryTake(); }
   bool tryTakeHedgingToken() { return hedgingBudget_.tryTake(); }
 
@@ -35,8 +35,8 @@
   bool isExhausted(const PendingRequest& pending) const {
     return pending.attemptCount() >= context_.settings.maxAttempts;
   }
-  /// Whether the attempt cost its endpoint nothing.
-  bool isFree(const Attempt& attempt, AttemptStatus status, double baselineLatency) const;
+  /// Returns whether the attempt caused no work at its endpoint, so that a retry needs no token.
+  bool isExemptFromRetryBudget(const Attempt& attempt, AttemptStatus status, double baselineLatency) const;
 
   const Context& context_;
   EndpointTable& table_;
--- a/src/balancer/seeded_hash.hpp
+++ b/src/balancer/seeded_hash.hpp
@@ -1,11 +1,11 @@
-// Pseudo-random numbers that depend on nothing but a seed and what they are drawn for.
+// Pseudo-random numbers that depend only on a seed and on keys.
 #pragma once
 
 #include <cstdint>
 
 namespace stonebay::balancer {
 
-/// A hash that gives the same number for the same keys under one seed, and another one under another seed.
+/// A hash function of one or two keys. Different seeds give different functions.
 class SeededHash {
  public:
   explicit SeededHash(std::uint64_t seed) : seed_(seed) {}
@@ -19,7 +19,7 @@
     return mixed ^ (mixed >> 29);
   }
 
-  /// The same as a number that is uniform in [0, 1).
+  /// Returns the hash as a number that is uniformly distributed in [0, 1).
   double fraction(std::uint64_t first, std::uint64_t second = 0) const {
     return static_cast<double>((*this)(first, second) >> 11) * 0x1p-53;
   }
--- a/src/balancer/session_commits.hpp
+++ b/src/balancer/session_commits.hpp
@@ -1,4 +1,4 @@
-// The last write of each session, for reads that must see it.
+// The last commit of each session, for reads that must see the session's own writes.
 #pragma once
 
 #include <algorithm>
@@ -11,14 +11,15 @@
 
 namespace stonebay::balancer {
 
-/// Remembers when each session's last write was committed.
+/// Maps each session to the instant of its last commit.
 class SessionCommits {
  public:
-  /// The later of this commit and those recorded before stands for the session.
+  /// Records a commit of a session, unless a later one is known.
   void record(std::uint64_t session, TimePoint commit) {
     TimePoint& last = commits_[session];
     last = std::max(last, commit);
   }
+  /// Returns std::nullopt if no commit of the session is known.
   std::optional<TimePoint> find(std::uint64_t session) const {
     const auto it = commits_.find(session);
     if (it == commits_.end()) return std::nullopt;
@@ -28,7 +29,7 @@
   void shiftAll(Duration shift) {
     for (auto& [session, commit] : commits_) commit += shift;
   }
-  /// Forgets all sessions; the latest of their commits, or 0 where there are none.
+  /// Removes all sessions. Returns the latest of their commits, or 0 if there are none.
   TimePoint evictAll() {
     TimePoint latest{};
     for (const auto& [session, commit] : commits_) latest = std::max(latest, commit);
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -17,7 +17,8 @@
   const bool isReported = table_.hasFreshLoadReport(endpoint);
   const double safety = std::min(1.0, context_.settings.overloadFactor / (isReported ? 4 : 8));
   share *= safety * (isReported ? kReportedSlowStartFactor : 1);
-  // Writes that look for the primary count against its budget, too.
+  // The primary alone may be sent all requests of its group. The others get their part of them, which applies
+  // to the writes of primary discovery, too.
   if (!endpoint.isPrimary()) share /= table_.largestGroupSize();
   share *= costShare;
   return context_.hash.fraction(request, endpoint.info.id) < share;
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -1,21 +1,21 @@
-// Slow start: what an endpoint that has just started may be sent.
+// Slow start: limits the requests to an endpoint that has just started.
 #pragma once
 
 #include "balancer/endpoint_table.hpp"
 
 namespace stonebay::balancer {
 
-/// Keeps all proxies together from overloading an endpoint that is warming up.
+/// Limits the requests to warming endpoints so that all proxies together do not overload one.
 class SlowStart {
  public:
   SlowStart(const Context& context, const EndpointTable& table) : context_(context), table_(table) {}
 
-  /// The least that an endpoint can do now, as a share of a warm one's capacity; 1: it is warm.
+  /// Returns a lower bound of an endpoint's current capacity, as a share of its capacity when warm.
   double warmUpCapacity(const Endpoint& endpoint) const;
-  /// Whether a warming endpoint may be sent a request. A hash of the request opens it to as many of its
-  /// group's requests as its present share of the whole group's capacity. Retries, bursts and late lists may
-  /// quadruple what comes: where its load is not reported it gets a part of its share. `costShare`: see
-  /// LatencyModel::costShare.
+  /// Returns whether the request may be sent to the endpoint; always true for a warm endpoint. A hash of the
+  /// request selects the share of requests that corresponds to the endpoint's share of the capacity of its
+  /// group. Retries, bursts and outdated lists may quadruple the number of requests, so an endpoint gets only
+  /// part of that share, and less if its load is not reported. For `costShare` see LatencyModel::costShare().
   bool isWithinBudget(const Endpoint& endpoint, RequestId request, double costShare) const;
 
  private:
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -1,4 +1,4 @@
-// What a LoadBalancer remembers: plain records, without any decision.
+// The records that a LoadBalancer keeps of endpoints, replica groups and requests.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,15 @@
 
 namespace stonebay::balancer {
 
-/// An instant that has not come.
+/// Stands for an instant that is not set; earlier than every valid instant.
 constexpr TimePoint kNever{Duration(-1)};
 
 /// The latency of one attempt.
 struct LatencySample {
-  double latency;  ///< microseconds; infinite: never answered
+  double latency;  ///< microseconds; kNeverAnswered if there was no response
   int classIndex;
-  double load;   ///< requests at the endpoint when the attempt was sent
-  TimePoint at;  ///< when it ended
+  double load;   ///< LatencyModel::loadOf() the endpoint when the attempt was sent
+  TimePoint at;  ///< when the attempt ended
 };
 
 using LatencyWindow = FixedWindow<LatencySample, kLatencyWindowSize>;
@@ -28,84 +28,85 @@
   RequestId request;
   int attempt;
   int classIndex;
-  double load;  ///< requests at the endpoint when it was sent
+  double load;  ///< LatencyModel::loadOf() the endpoint when the attempt was sent
   TimePoint sentAt;
-  bool knownStale;  ///< the endpoint's known position was older than the request requires
+  bool knownStale;  ///< the endpoint's known position was older than the request required
 };
 
-/// How old an endpoint's data was at some instant.
+/// The age of an endpoint's data at one instant.
 struct PositionLag {
   TimePoint observedAt;
   Duration age;
 };
 
-/// Whether an endpoint is ejected; owned by OutlierDetector.
+/// The ejection state of an endpoint; owned by OutlierDetector.
 struct Ejection {
   int consecutiveFailures = 0;
-  TimePoint until = kNever;  ///< ejected until then, afterwards one trial request at a time
-  Duration backoff{};
-  bool failingFast = false;  ///< ejected for errors alone: it answers
+  TimePoint until = kNever;  ///< end of the ejection; after it, one trial request at a time
+  Duration backoff{};        ///< duration of the next ejection
+  bool failingFast = false;  ///< ejected because of error responses: the endpoint still responds
 };
 
-/// The health check of an endpoint; owned by HealthChecker.
+/// The latest health check of an endpoint; owned by HealthChecker.
 struct HealthCheck {
   bool pending = false;
   TimePoint sentAt = kNever;
 };
 
-/// The load that an endpoint reported.
+/// The latest load that an endpoint reported.
 struct ReportedLoad {
   int inFlight = 0;
   TimePoint reportedAt = kNever;
 };
 
-/// When the proxies last heard of an endpoint by gossip; owned by GossipPolicy.
+/// When an endpoint was last broadcast; owned by GossipPolicy.
 struct BroadcastTimes {
-  TimePoint last = kNever;     ///< from this proxy or another
-  TimePoint lastOwn = kNever;  ///< from this one
+  TimePoint last = kNever;     ///< by any proxy
+  TimePoint lastOwn = kNever;  ///< by this proxy
 };
 
 /// A primary and its replicas.
 struct ReplicaGroup {
-  std::vector<EndpointId> endpoints;  ///< ascending: the order in which writes look for a primary
-  EndpointId primary = 0;             ///< 0: none known
+  std::vector<EndpointId> endpoints;  ///< ascending: the order in which primary discovery tries them
+  EndpointId primary = 0;             ///< 0 means unknown
   TimePoint lastFaultAt = kNever;
-  TimePoint primaryWantedAt = kNever;
-  RequestId discoveryRequest = 0;          ///< the one write that looks for the primary; 0: none
-  std::uint64_t discoveryExhaustedIn = 0;  ///< version of the list whose endpoints it has all tried in vain
-  TimePoint evictedCommit = kNever;  ///< sessions that are no longer remembered may have written until then
-  std::vector<RequestId> waiting;
-
-  /// Nothing of it has to be kept.
+  TimePoint primaryRequestedAt = kNever;  ///< when a write was last routed
+  RequestId discoveryRequest = 0;         ///< the write that is tried on all endpoints; 0 means none
+  /// Version of the endpoint list in which all endpoints have been tried without finding the primary.
+  std::uint64_t discoveryExhaustedVersion = 0;
+  TimePoint evictedCommit = kNever;  ///< latest commit of all sessions that are no longer remembered
+  std::vector<RequestId> waitingRequests;
+
+  /// Returns whether the record may be erased.
   bool isUnused() const {
-    return endpoints.empty() && waiting.empty() && discoveryRequest == 0 && evictedCommit == kNever;
+    return endpoints.empty() && waitingRequests.empty() && discoveryRequest == 0 && evictedCommit == kNever;
   }
 };
 
-/// An endpoint, and what is known of it.
+/// An endpoint and what is known about it.
 struct Endpoint {
   EndpointUpdate info;
-  ReplicaGroup* replicaGroup = nullptr;  ///< that info names; owned by EndpointTable, which keeps it as long
-  bool drainingObserved = false;
-  TimePoint departedAt = kNever;      ///< when the list first lacked it
-  TimePoint roleObservedAt = kNever;  ///< when the newest evidence of its role was true
-  TimePoint position = kNever;  ///< it has applied all commits up to here; a lower bound that only grows
+  ReplicaGroup* replicaGroup = nullptr;  ///< owned by EndpointTable, which keeps it while it has endpoints
+  bool drainingObserved = false;         ///< the last listed state other than Removed was Draining
+  TimePoint departedAt = kNever;         ///< when the endpoint left the list
+  TimePoint roleObservedAt = kNever;     ///< the instant at which the newest known role was valid
+  TimePoint position = kNever;           ///< the endpoint has applied at least all commits up to here
   FixedWindow<PositionLag, kPositionWindowSize> positionLags;
-  LatencyWindow freshSamples;  ///< of attempts that were not known stale
-  LatencyWindow staleSamples;  ///< of those that were
+  LatencyWindow freshSamples;  ///< of attempts without InFlightAttempt::knownStale
+  LatencyWindow staleSamples;  ///< of attempts with InFlightAttempt::knownStale
   std::vector<InFlightAttempt> inFlight;
-  TimePoint lastUsedAt = kNever;
-  TimePoint lastAnswerAt = kNever;          ///< to a request
-  TimePoint lastResponseAt = kNever;        ///< of any kind: answers to health checks and gossip included
-  TimePoint latestAnsweredSentAt = kNever;  ///< when the youngest of the answered attempts was sent
+  TimePoint lastUsedAt = kNever;            ///< orders the endpoints for selection, see ReplicaSelector
+  TimePoint lastAnswerAt = kNever;          ///< last attempt that ended as Ok, TooStale or Rejected
+  TimePoint lastResponseAt = kNever;        ///< last such attempt, answered health check or gossip
+  TimePoint latestAnsweredSentAt = kNever;  ///< latest send time among the successful attempts
   Ejection ejection;
   HealthCheck healthCheck;
   ReportedLoad load;
   BroadcastTimes broadcast;
-  std::uint64_t tieBreaker = 0;  ///< this proxy's own order of endpoints that are alike
+  std::uint64_t tieBreaker = 0;  ///< orders endpoints that are otherwise equal; differs between proxies
 
   bool isPrimary() const { return replicaGroup->primary == info.id; }
-  /// A new process has started: nothing of the former one's latencies and health holds on.
+  /// Discards latencies and ejection, which do not apply to a new process.
   void resetHistory() {
     freshSamples.clear();
     staleSamples.clear();
@@ -117,33 +118,38 @@
 struct Attempt {
   EndpointId endpoint;
   TimePoint sentAt;
-  bool open = true;
+  bool inFlight = true;
   bool cancelled = false;
 };
 
-/// A request that is owed its final response.
+/// A request without a final response so far.
 struct PendingRequest {
   Request request;
   TimePoint arrivedAt{};
-  TimePoint requiredCommit = kNever;  ///< ReadYourWrites and Strong: data must reach this
+  TimePoint requiredCommit = kNever;  ///< ReadYourWrites and Strong: the data must include this commit
   std::vector<Attempt> attempts;
-  std::vector<EndpointId> attemptedEndpoints;
-  int outstandingAttempts = 0;
-  bool reachedEndpoint = false;  ///< some endpoint has had it, whatever came of it
-  bool maybeExecuted = false;    ///< some attempt may have run
-  TimePoint maybeExecutedAt{};   ///< when the earliest such attempt was sent, and where
-  EndpointId maybeExecutedOn = 0;
-  bool waiting = false;
-  bool healthChecksSent = false;  ///< for its next attempt
+  std::vector<EndpointId> attemptedEndpoints;  ///< not to be tried again in the current round
+  int outstandingAttempts = 0;                 ///< number of attempts that have not ended
+  bool reachedEndpoint = false;    ///< some attempt was sent over a connection, whatever its result
+  bool maybeExecuted = false;      ///< some attempt may have been executed
+  TimePoint maybeExecutedAt{};     ///< send time of the earliest such attempt
+  EndpointId maybeExecutedOn = 0;  ///< endpoint of the earliest such attempt
+  bool waiting = false;            ///< in ReplicaGroup::waitingRequests
+  bool healthChecksSent = false;   ///< for the next attempt
 
   int attemptCount() const { return static_cast<int>(attempts.size()); }
 };
 
-/// What to do with a pending request.
+/// The decision about the next step of a pending request.
 struct Route {
-  enum class Action { Send, Wait, WaitForHealthChecks, GiveUp };
+  enum class Action {
+    Send,                 ///< send an attempt to each of `endpoints`
+    Wait,                 ///< wait until an endpoint may become available
+    WaitForHealthChecks,  ///< wait for the health checks that were sent for this request
+    Shed                  ///< end the request: the endpoints have too much load
+  };
   Action action = Action::Wait;
-  std::vector<Endpoint*> endpoints{};  ///< Send: all of these
+  std::vector<Endpoint*> endpoints{};
 };
 
 }  // namespace stonebay::balancer
--- a/src/balancer/token_budget.hpp
+++ b/src/balancer/token_budget.hpp
@@ -1,21 +1,21 @@
-// A budget that requests pay into and retries draw on.
+// A token budget that limits retries in proportion to requests.
 #pragma once
 
 #include <algorithm>
 
 namespace stonebay::balancer {
 
-/// Fractions of a token are deposited, whole ones are taken. What exceeds one token decays.
+/// Each request deposits a fraction of a token, and each retry takes a whole one. Tokens beyond one decay.
 class TokenBudget {
  public:
   explicit TokenBudget(double initial) : tokens_(initial) {}
 
-  /// `retained`: the share of an excess that is left since the last deposit, in [0, 1].
+  /// Reduces the tokens to the share `retained`, in [0, 1], but not below one token, and then adds `amount`.
   void deposit(double amount, double retained) {
     tokens_ = std::max(std::min(tokens_, 1.0), tokens_ * retained) + amount;
   }
   bool hasToken() const { return tokens_ >= 1; }
-  /// False, and nothing is taken, where there is less than one token.
+  /// Takes a token. Returns false and takes nothing if there is less than one.
   bool tryTake() {
     if (!hasToken()) return false;
     tokens_ -= 1;
--- a/src/balancer/tuning.hpp
+++ b/src/balancer/tuning.hpp
@@ -1,4 +1,4 @@
-// The thresholds and time constants of every decision, in one place.
+// The thresholds and time constants of all decisions.
 #pragma once
 
 #include <cstddef>
@@ -12,55 +12,92 @@
 using std::chrono::seconds;
 
 // ---- latency model ---------------------------------------------------------------------------------------
-constexpr std::size_t kLatencyWindowSize = 20;  // latencies kept of an endpoint, as in the paper
-constexpr Duration kMaxSampleAge = seconds(8);  // older samples say little about the present
-constexpr double kLatencySmoothing = 0.05;      // weight of a new latency in a class's mean
-constexpr double kEndpointConcurrency = 3;  // requests that an endpoint serves in parallel before they queue
-constexpr double kSilenceFactor = 4;        // no answer for so many mean latencies is a symptom
+
+// Latency samples kept per endpoint, as in the paper that replica_selection.hpp describes.
+constexpr std::size_t kLatencyWindowSize = 20;
+// Older samples say little about the current state.
+constexpr Duration kMaxSampleAge = seconds(8);
+// Weight of a new latency in the mean of its class.
+constexpr double kLatencySmoothing = 0.05;
+// Requests that an endpoint executes in parallel before further ones queue.
+constexpr double kEndpointConcurrency = 3;
+// An attempt without a response for this multiple of its class's mean latency exceeds the silence timeout.
+constexpr double kSilenceFactor = 4;
+// The latency of an attempt that was never answered.
 constexpr double kNeverAnswered = std::numeric_limits<double>::infinity();
-constexpr Duration kMaxLoadReportAge = seconds(1);           // a load report is fresh for so long
-constexpr Duration kLoadRelaxationTime = milliseconds(250);  // a load approaches its group's mean so fast
+// Load reports are used up to this age.
+constexpr Duration kMaxLoadReportAge = seconds(1);
+// Time constant with which the load estimate of an endpoint moves from its last report to its group's mean.
+constexpr Duration kLoadRelaxationTime = milliseconds(250);
 
 // ---- read-set selection ----------------------------------------------------------------------------------
-constexpr double kTargetProbability = 0.95;     // that a read set answers in time
-constexpr std::size_t kPositionWindowSize = 8;  // enough for a share, quick to follow a changing lag
-constexpr Duration kFaultWindow = seconds(1);   // a fault leaves the best endpoint out of the sum so long
-constexpr std::size_t kMaxRememberedSessions = 200000;  // more are folded into one commit per group
+
+// Required probability that at least one endpoint of a read set responds in time.
+constexpr double kTargetProbability = 0.95;
+// Position samples kept per endpoint: enough for a share, few enough to follow a changing lag.
+constexpr std::size_t kPositionWindowSize = 8;
+// For this long after a fault, a read set has to reach the target without its best endpoint.
+constexpr Duration kFaultWindow = seconds(1);
+// Beyond this, the commits of all sessions are merged into one per replica group, which bounds the memory.
+constexpr std::size_t kMaxRememberedSessions = 200000;
 
 // ---- retries and hedging ---------------------------------------------------------------------------------
-constexpr double kRetryBudgetRatio = 0.05;      // retries earned per request: overload must not feed itself
-constexpr double kHedgingBudgetRatio = 0.05;    // hedged requests earned per request
-constexpr Duration kBudgetDecay = seconds(2);   // what was earned fades, so that it cannot feed an overload
-constexpr double kImmediateFailureShare = 0.5;  // of the baseline latency: no work was done by then
+
+// Retries earned per request; few, so that retries do not feed an overload.
+constexpr double kRetryBudgetRatio = 0.05;
+// Hedged requests earned per request.
+constexpr double kHedgingBudgetRatio = 0.05;
+// Time constant with which unused budget decays, so that saved-up retries cannot feed an overload.
+constexpr Duration kBudgetDecay = seconds(2);
+// An attempt that fails within this share of its class's baseline latency has caused no work.
+constexpr double kImmediateFailureShare = 0.5;
 
 // ---- outlier detection and health checks -----------------------------------------------------------------
+
 constexpr int kConsecutiveFailuresToEject = 3;
 constexpr Duration kMinEjection = milliseconds(500);
 constexpr Duration kMaxEjection = seconds(8);
-constexpr Duration kRejectionPause = milliseconds(250);     // an endpoint that rejects requests rests so long
-constexpr Duration kHealthCheckTimeout = milliseconds(25);  // checks are answered beside the queue
-constexpr std::size_t kHealthChecksPerSend = 2;             // one may reach the worse of two
-constexpr int kHealthCheckWaitDivisor = 8;  // of the latency objective: wait for their answers
-constexpr Duration kPrimaryDiscoveryInterval = milliseconds(250);  // between checks for a missing primary
+// How long an endpoint that rejects a request receives no further ones.
+constexpr Duration kRejectionPause = milliseconds(250);
+// Short, because endpoints answer health checks without queueing them behind requests.
+constexpr Duration kHealthCheckTimeout = milliseconds(25);
+// With a single check, the endpoint that is checked may be the worse one of two.
+constexpr std::size_t kHealthChecksPerSend = 2;
+// A request waits for health checks for its latency objective divided by this.
+constexpr int kHealthCheckWaitDivisor = 8;
+// Minimum interval between the health checks of an endpoint while its group has no known primary.
+constexpr Duration kPrimaryDiscoveryInterval = milliseconds(250);
 
 // ---- slow start ------------------------------------------------------------------------------------------
-constexpr double kReportedSlowStartFactor = 1.5;  // of its share, to a warming endpoint with known load
+
+// Multiple of its share that a warming endpoint may receive if its load is known from reports.
+constexpr double kReportedSlowStartFactor = 1.5;
 
 // ---- admission control -----------------------------------------------------------------------------------
-constexpr double kMinExpectedValue = 0.85;   // of its priority weight: what a request must be likely to earn
-constexpr double kMaxQueueingShare = 0.45;   // of its time: how long a request may wait for an endpoint
-constexpr double kRetryAfterShare = 0.0625;  // of the silence timeout: its latency objective still runs
-constexpr Duration kDemandDecay = seconds(10);  // requests and in-time responses count for about so long
+
+// Share of its priority weight that a request must be expected to earn.
+constexpr double kMinExpectedValue = 0.85;
+// Share of the time until its deadline for which a request may wait for its first endpoint.
+constexpr double kMaxQueueingShare = 0.45;
+// Retry-After as a share of the silence timeout; short, because the latency objective keeps running.
+constexpr double kRetryAfterShare = 0.0625;
+// Time constant with which the counts of requests and of responses in time decay.
+constexpr Duration kDemandDecay = seconds(10);
 
 // ---- discovery and gossip --------------------------------------------------------------------------------
-constexpr Duration kMinPollBackoff = milliseconds(200);  // after a failed poll; doubles from there
+
+// Minimum backoff after a failed poll; doubles with each further failure.
+constexpr Duration kMinPollBackoff = milliseconds(200);
+// The polls of all proxies are spread over this time per proxy.
 constexpr Duration kPollJitterPerProxy = milliseconds(20);
-constexpr Duration kMaxPollBackoff =
-    seconds(2);  // changes bind after 6 s: 3 to notice silence, 1 for a response
-constexpr Duration kDepartedRetention = seconds(10);  // a departed, quiet endpoint is kept so long
-constexpr Duration kBroadcastInterval =
-    milliseconds(250);  // one proxy broadcasts an endpoint, then none so long
+// With 3 s to notice a silent watch and 1 s for a response, a change of the list takes effect within 6 s.
+constexpr Duration kMaxPollBackoff = seconds(2);
+// How long an idle endpoint is remembered after it left the list.
+constexpr Duration kDepartedRetention = seconds(10);
+// After one proxy has broadcast an endpoint's report, no proxy broadcasts that endpoint for this time.
+constexpr Duration kBroadcastInterval = milliseconds(250);
 
-constexpr Duration kTickInterval = milliseconds(20);  // waiting requests, silence, primary discovery
+// Interval at which waiting requests, silent endpoints and missing primaries are checked.
+constexpr Duration kTickInterval = milliseconds(20);
 
 }  // namespace stonebay::balancer
--- a/src/balancer/write_routing.cpp
+++ b/src/balancer/write_routing.cpp
@@ -12,9 +12,9 @@
 
 Route WriteRouter::route(PendingRequest& pending) {
   ReplicaGroup& group = table_.group(pending.request.group);
-  group.primaryWantedAt = context_.now;
+  group.primaryRequestedAt = context_.now;
   if (Endpoint* const primary = table_.routablePrimary(group)) return routeToPrimary(pending, *primary);
-  if (Endpoint* const endpoint = nextToTry(pending, group)) {
+  if (Endpoint* const endpoint = nextDiscoveryCandidate(pending, group)) {
     group.discoveryRequest = pending.request.id;
     return {Route::Action::Send, {endpoint}};
   }
@@ -25,19 +25,21 @@
 
 Route WriteRouter::routeToPrimary(PendingRequest& pending, Endpoint& primary) {
   pending.attemptedEndpoints.clear();
-  // A primary that fails some requests at once is the only way all the same; one that is silent or gone is
-  // none.
+  // Only the primary executes writes, so it is used even if it was ejected because of error responses. It is
+  // not used if it does not respond.
   const bool isInService = outliers_.isHealthy(primary) || primary.ejection.failingFast;
   if (!isInService || !maySend(pending, primary)) return {Route::Action::Wait};
   if (healthChecker_.checkBeforeSend(pending, {&primary})) return {Route::Action::WaitForHealthChecks};
-  if (!admission_.isAdmissible(pending, primary)) return {Route::Action::GiveUp};
+  if (!admission_.isAdmissible(pending, primary)) return {Route::Action::Shed};
   return {Route::Action::Send, {&primary}};
 }
 
-Endpoint* WriteRouter::nextToTry(const PendingRequest& pending, ReplicaGroup& group) {
+Endpoint* WriteRouter::nextDiscoveryCandidate(const PendingRequest& pending, ReplicaGroup& group) {
   const int attemptsForDiscovery = std::max(context_.settings.maxAttempts - 1, 1);
-  const bool isAnothersTurn = group.discoveryRequest != 0 && group.discoveryRequest != pending.request.id;
-  if (pending.attemptCount() >= attemptsForDiscovery || table_.isDiscoveryExhausted(group) || isAnothersTurn)
+  const bool isOtherRequestSearching =
+      group.discoveryRequest != 0 && group.discoveryRequest != pending.request.id;
+  if (pending.attemptCount() >= attemptsForDiscovery || table_.isDiscoveryExhausted(group) ||
+      isOtherRequestSearching)
     return nullptr;
   for (const EndpointId id : group.endpoints) {
     Endpoint& endpoint = table_.at(id);
@@ -49,7 +51,7 @@
 }
 
 void WriteRouter::discoverPrimary(const ReplicaGroup& group) {
-  if (!context_.canCheckHealth() || context_.now > group.primaryWantedAt + kTickInterval) return;
+  if (!context_.canCheckHealth() || context_.now > group.primaryRequestedAt + kTickInterval) return;
   const Endpoint* const primary = table_.routablePrimary(group);
   if (primary && outliers_.isHealthy(*primary)) return;
   for (const EndpointId id : group.endpoints) {
--- a/src/balancer/write_routing.hpp
+++ b/src/balancer/write_routing.hpp
@@ -1,4 +1,4 @@
-// Where a write goes, and how its group's primary is found.
+// Routing of writes, and discovery of the primary of a group.
 #pragma once
 
 #include "balancer/admission_control.hpp"
@@ -7,7 +7,7 @@
 
 namespace stonebay::balancer {
 
-/// Routes writes.
+/// Routes writes to the primary of their group, and discovers the primary if it is unknown.
 class WriteRouter {
  public:
   WriteRouter(const Context& context, EndpointTable& table, const LatencyModel& latencies,
@@ -22,14 +22,18 @@
         outliers_(outliers),
         healthChecker_(healthChecker) {}
 
+  /// Returns the next step of a write without an attempt in flight.
   Route route(PendingRequest& pending);
-  /// Checks a group's endpoints while writes want a primary that is not in service.
+  /// Sends health checks to the endpoints of a group if writes wait and its primary is unknown or unhealthy.
   void discoverPrimary(const ReplicaGroup& group);
 
  private:
   Route routeToPrimary(PendingRequest& pending, Endpoint& primary);
-  /// One write tries the endpoints by id and keeps its last attempt for the primary; the others wait.
-  Endpoint* nextToTry(const PendingRequest& pending, ReplicaGroup& group);
+  /// Returns the next endpoint for a write of a group without a known primary, or nullptr if it has to wait.
+  /// One write at a time is tried on the endpoints in the order of their ids; it keeps its last attempt for
+  /// the primary. The other writes of the group wait.
+  Endpoint* nextDiscoveryCandidate(const PendingRequest& pending, ReplicaGroup& group);
+  /// Returns whether the retry policy and slow start allow the write at the endpoint.
   bool maySend(const PendingRequest& pending, const Endpoint& endpoint);
 
   const Context& context_;
--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -4,25 +4,26 @@
 namespace stonebay::test {
 namespace {
 
-// A response after the latency objective earns something too; else the objective would end the wait.
+// Writes earn part of their priority weight after the latency objective; otherwise they would not wait
+// longer.
 Settings settingsWithLateWrites() {
   Settings settings = defaultSettings();
   settings.classes[kWrite].latePriorityShare = 0.5;
   return settings;
 }
 
-// Runs timers until the request is rejected, for 3 s at most.
+// Runs timers until the request is rejected, but not longer than 3 s.
 void runUntilRejected(BalancerFixture& fixture, RequestId id, TimePoint submittedAt) {
   while (fixture.actions.count(ActionKind::Reject, id) == 0 && fixture.now < submittedAt + 3s)
     fixture.runTimers(5ms);
 }
 
-// Found on the bench: a request that waited for an endpoint outlived its client between two ticks of the
-// timer that serves all requests.
+// Guards against waiting past the client's deadline: the tick timer that all requests share may run only
+// after the deadline, so each waiting request needs its own timer.
 TEST(AdmissionControl, WaitingRequestIsRejectedByItsOwnTimerBeforeItsDeadline) {
   BalancerFixture fixture;
   const std::size_t timersBefore = fixture.actions.count(ActionKind::Timer);
-  const RequestId id = fixture.submit(kBoundedRead);  // no position and no primary is known: it waits
+  const RequestId id = fixture.submit(kBoundedRead);  // waits, because no position and no primary is known
   ASSERT_TRUE(fixture.sends(id).empty());
   const TimePoint submittedAt = fixture.now;
   ASSERT_GT(fixture.actions.count(ActionKind::Timer), timersBefore);
@@ -31,8 +32,8 @@
   EXPECT_LE(fixture.now - submittedAt, fixture.settings.classes[kBoundedRead].deadline);
 }
 
-// Found on sockets: a rejection after half of the client's deadline costs a third of the request's priority
-// weight where no endpoint had any part in it; the client could have come back meanwhile.
+// Guards against rejecting a request too late: if no endpoint has received it, a rejection after half of the
+// deadline costs a third of its priority weight, because the client could have retried in the meantime.
 TEST(AdmissionControl, WriteThatNoEndpointReceivedIsRejectedBeforeHalfOfItsDeadline) {
   BalancerFixture fixture(settingsWithLateWrites());
   for (EndpointId id = 1; id <= 3; ++id)
@@ -44,7 +45,7 @@
   EXPECT_LT(fixture.now - submittedAt, fixture.settings.classes[kWrite].deadline / 2);
 }
 
-TEST(AdmissionControl, WriteThatReplicasTurnedAwayKeepsWaitingForThePrimary) {
+TEST(AdmissionControl, WriteThatReplicasRejectedKeepsWaitingForThePrimary) {
   BalancerFixture fixture(settingsWithLateWrites());
   const TimePoint submittedAt = fixture.now;
   const RequestId id = fixture.submit(kWrite);
@@ -55,8 +56,8 @@
   EXPECT_FALSE(fixture.hasFinalResponse(id));
 }
 
-// Incident if8264e: failures that occur at any load counted as lateness, and requests for good endpoints were
-// rejected.
+// Guards against shedding because of failures that do not depend on load (incident if8264e): they counted as
+// late responses, and requests for healthy endpoints were rejected.
 TEST(AdmissionControl, FailuresThatDoNotDependOnLoadShedNoRequests) {
   BalancerFixture fixture(defaultSettings(), 1);
   for (int k = 0; k < 40; ++k) {
@@ -71,8 +72,8 @@
   }
 }
 
-// Found on the bench (incidents ife0563, i404a82, ieb4c96): queues that made every response late fed
-// themselves.
+// Guards against queues that never shrink because every response in them is late (incidents ife0563, i404a82,
+// ieb4c96).
 TEST(AdmissionControl, RequestsThatABusyEndpointWouldServeLateAreShed) {
   BalancerFixture fixture;
   for (int k = 0; k < 20; ++k) fixture.serve(kEventualRead, 100ms);
@@ -83,8 +84,9 @@
   EXPECT_LT(rejected, 195);
 }
 
-// Incident i1a9b26: a share of the attempts was never answered; each counted as load for seconds.
-TEST(AdmissionControl, AttemptsThatArePresumedLostAreNoLoad) {
+// Guards against counting lost attempts as load (incident i1a9b26): some attempts were never answered, and
+// each counted as load for seconds.
+TEST(AdmissionControl, AttemptsThatArePresumedLostDoNotCountAsLoad) {
   Settings settings = defaultSettings();
   settings.cancellationAllowed = false;
   BalancerFixture fixture(settings, 1);
--- a/tests/balancer_fixture.hpp
+++ b/tests/balancer_fixture.hpp
@@ -1,4 +1,4 @@
-// A LoadBalancer with a recording sink, a clock and one replica group, and shorthand for its events.
+// A test fixture with a LoadBalancer, a recording sink, a clock and one replica group.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,15 +19,15 @@
 using std::chrono::seconds;
 using namespace std::chrono_literals;
 
-/// What a response says of its endpoint.
+/// The role and position that a response states.
 struct Evidence {
   Role role = Role::Unknown;
   std::optional<TimePoint> position;
 };
 constexpr Evidence kFromReplica{Role::Replica, std::nullopt};
 
-/// Indices of the classes in defaultSettings(). The keyed reads are eventual ones with an idempotency key,
-/// which the endpoints of a replica group, or all endpoints, remember for 400 ms.
+/// Indices of the classes in defaultSettings(). The keyed reads are eventual reads with an idempotency key,
+/// by which the endpoints of a replica group, or all endpoints, drop repeats for 400 ms.
 enum ClassIndex : int {
   kBoundedRead,
   kReadYourWritesRead,
@@ -38,10 +38,11 @@
   kGlobalKeyedRead
 };
 
-/// One class for each ClassIndex; endpoints that serve stale reads; load reports as answers to health checks.
+/// Returns settings with one class for each ClassIndex, endpoints that serve stale reads, and load reports in
+/// responses to health checks.
 Settings defaultSettings();
 
-/// Each endpoint belongs to one replica group; ids count from 1. The clock starts at 1100 s.
+/// All endpoints belong to one replica group. Their ids count from 1. The clock starts at 1100 s.
 class BalancerFixture {
  public:
   static constexpr GroupId kGroup = 7;
@@ -59,7 +60,7 @@
   BalancerFixture& operator=(const BalancerFixture&) = delete;
 
   void advanceTime(Duration interval) { now += interval; }
-  /// Advances time in steps of 5 ms and fires the timers that fall due, as an embedding program would.
+  /// Advances time in steps of 5 ms and calls onTimer() for the timers that expire.
   void runTimers(Duration interval);
 
   static EndpointUpdate endpointUpdate(EndpointId, Lifecycle = Lifecycle::Ready,
@@ -67,31 +68,31 @@
   /// Passes changes of the endpoint list to the LoadBalancer.
   void updateEndpoints(const std::vector<EndpointUpdate>&);
 
-  /// Submits a request of a class; `deadline` (from now) 0: the class's own.
+  /// Submits a request of a class. `deadline` counts from now; 0 means the deadline of the class.
   RequestId submit(int classIndex, std::uint64_t session = 0, float sessionTokenAgeMs = 0,
                    Duration deadline = Duration(0));
-  /// Ends an attempt (-1: the latest one) of a request.
+  /// Ends an attempt of a request; -1 means the latest one.
   void endAttempt(RequestId, AttemptStatus, Evidence = {}, int attempt = -1);
-  /// Submits a request, lets `latency` go by and ends its latest attempt with a response.
+  /// Submits a request, advances time by `latency` and ends its latest attempt successfully.
   RequestId serve(int classIndex, Duration latency = Duration(0), Evidence = kFromReplica);
 
   std::vector<Action> sends(RequestId id) const { return actions.of(ActionKind::Send, id); }
-  /// The endpoint of the latest attempt; 0: none was sent.
+  /// Returns the endpoint of the latest attempt; 0 if none was sent.
   EndpointId lastEndpoint(RequestId) const;
-  /// Whether the request was rejected or failed.
+  /// Returns whether the request was rejected or failed.
   bool hasFinalResponse(RequestId) const;
 
-  /// A health check is answered with a report: a position of `age` before now, and the role.
+  /// Answers a health check with a load report: a position of `age` before now, and the role.
   void reportPosition(EndpointId, Duration age, bool isPrimary = false);
-  /// As reportPosition(), with a position in seconds after the position epoch.
+  /// Like reportPosition(), with a position in seconds after the position epoch.
   void reportPositionAfterEpoch(EndpointId, float positionSeconds);
-  /// As reportPosition() with a position of now, with the requests in flight as a third value.
+  /// Like reportPosition(), with the current time as position and the requests in flight as a third value.
   void reportLoad(EndpointId, bool isPrimary, int inFlight);
-  /// Reports an endpoint as the primary, with a position of now.
+  /// Reports an endpoint as the primary, with the current time as position.
   void reportPrimary(EndpointId endpoint) { reportPosition(endpoint, 0ms, true); }
   void failHealthCheck(EndpointId);
 
-  /// A role, and a position of `age` before now in complete milliseconds.
+  /// Returns a role and a position of `age` before now, rounded down to whole milliseconds.
   Evidence evidence(Duration age, Role) const;
 
  private:
--- a/tests/consistency_test.cpp
+++ b/tests/consistency_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the position that a request requires, and of the odds that an endpoint's data reaches it.
+// Tests of the position that a request requires, and of the probability that an endpoint has reached it.
 #include "balancer/consistency.hpp"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
   }
 };
 
-TEST_F(ConsistencyTest, BoundedReadRequiresAPositionThatMovesWithThePresent) {
+TEST_F(ConsistencyTest, BoundedReadRequiresAPositionRelativeToTheCurrentTime) {
   ConsistencyPolicy consistency(context, table);
   const PendingRequest read = requestOf(kBoundedRead);
   EXPECT_EQ(consistency.requiredPosition(read), context.now - 500ms);
@@ -56,7 +56,7 @@
   EXPECT_EQ(consistency.requiredPosition(other), kNever);
 }
 
-TEST_F(ConsistencyTest, ReadsAndRequestsWithoutASessionCommitNothing) {
+TEST_F(ConsistencyTest, CommitsOfReadsAndOfRequestsWithoutASessionAreNotRecorded) {
   ConsistencyPolicy consistency(context, table);
   consistency.recordCommit(requestOf(kEventualRead, 5), committedAt(context.now));
   consistency.recordCommit(requestOf(kWrite), committedAt(context.now));
@@ -75,21 +75,22 @@
   EXPECT_EQ(consistency.freshnessProbability(table.at(2), required), 1);
 }
 
-TEST_F(ConsistencyTest, EndpointThatServesStaleReadsNeedsAProof) {
+TEST_F(ConsistencyTest, EndpointThatServesStaleReadsNeedsAProvenPosition) {
   ConsistencyPolicy consistency(context, table);
   EXPECT_FALSE(consistency.freshnessProbability(table.at(1), context.now - 100ms).has_value());
 }
 
-TEST_F(ConsistencyTest, EndpointThatRejectsStaleReadsHasTheOddsOfItsRecentLags) {
+TEST_F(ConsistencyTest, FreshnessOfAnEndpointThatRejectsStaleReadsFollowsItsRecentLags) {
   context.settings.staleReadPolicy = StaleReadPolicy::Reject;
   ConsistencyPolicy consistency(context, table);
-  EXPECT_EQ(consistency.freshnessProbability(table.at(1), context.now - 100ms), 0.5) << "nothing is known";
+  EXPECT_EQ(consistency.freshnessProbability(table.at(1), context.now - 100ms), 0.5)
+      << "there are no samples";
   table.observePosition(table.at(1), context.now - 50ms);
   context.now += 1s;
   table.observePosition(table.at(1), context.now - 300ms);
   context.now += 1s;
   EXPECT_EQ(consistency.freshnessProbability(table.at(1), context.now - 100ms), 0.5)
-      << "one lag in two is short";
+      << "one of two lags is short enough";
 }
 
 }  // namespace
--- a/tests/discovery_polling_test.cpp
+++ b/tests/discovery_polling_test.cpp
@@ -1,4 +1,4 @@
-// Tests of when discovery is polled.
+// Tests of the times at which discovery is polled.
 #include <set>
 
 #include "balancer_fixture.hpp"
@@ -38,8 +38,8 @@
   EXPECT_EQ(fixture.actions.count(ActionKind::PollDiscovery), 2u) << "an answered poll is not repeated";
 }
 
-// event4996: all proxies lost their watch at once and polled again at the same instants; some got no list in
-// 25 s.
+// Guards against synchronized polls: all proxies lost their watch at the same time and polled again at the
+// same instants, so that some did not get a list for 25 s.
 TEST(DiscoveryPolling, ManyProxiesPollAtJitteredTimes) {
   std::set<Duration> initialDelays;
   std::set<Duration> retryDelays;
@@ -59,8 +59,9 @@
   EXPECT_GT(*retryDelays.rbegin() - *retryDelays.begin(), 500ms);
 }
 
-// A change has to be known 6 s after discovery had it and could be reached, also after a watch fell silent:
-// 3 s of silence and 6 s of jitter, as 300 proxies had, are too much.
+// Guards against too long a retry delay with many proxies. A proxy must learn of a change within 6 s while
+// discovery is reachable. Noticing a silent watch takes 3 s, so 6 s of jitter, as 300 proxies had, is too
+// much.
 TEST(DiscoveryPolling, RetryDelayIsBoundedForAnyNumberOfProxies) {
   for (const int proxies : {1, 30, 300, 3000}) {
     BalancerFixture fixture(settingsWithPolling(proxies));
--- a/tests/endpoint_table_test.cpp
+++ b/tests/endpoint_table_test.cpp
@@ -1,4 +1,4 @@
-// Tests of what is known of endpoints: listed state, roles by their evidence, positions, removal.
+// Tests of the endpoint table: listed states, roles, positions and removal.
 #include <set>
 #include <vector>
 
@@ -16,22 +16,22 @@
   fixture.endAttempt(id, AttemptStatus::Ok, kFromReplica);
   fixture.reportPositionAfterEpoch(1, 59.95f);  // 50 ms ago, by the new epoch
   fixture.advanceTime(420ms);
-  // 470 ms old; by the first report it would be 520.
+  // The second report is 470 ms old, the first one 520 ms.
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kBoundedRead)), 1u);
 }
 
 TEST(EndpointTable, PositionsNeverRegress) {
   BalancerFixture fixture;
   fixture.reportPosition(2, 50ms);
-  fixture.reportPosition(2, 900ms);  // an older report, overtaken by a newer one
+  fixture.reportPosition(2, 900ms);  // an older report that arrives after a newer one
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kBoundedRead)), 2u);
 }
 
 TEST(EndpointTable, SinglePrecisionPositionIsRoundedDown) {
   Settings settings = defaultSettings();
-  settings.positionEpoch = TimePoint();  // far from 0 a float of seconds is coarse: 1100 s +- 61 us
+  settings.positionEpoch = TimePoint();  // a float of 1100 s is only accurate to +- 61 us
   BalancerFixture fixture(settings);
-  fixture.now = TimePoint(1100s + 500ms);  // exactly the bound, if the float were exact
+  fixture.now = TimePoint(1100s + 500ms);  // at the bound if the float were exact
   fixture.reportPositionAfterEpoch(2, 1100.0f);
   EXPECT_TRUE(fixture.sends(fixture.submit(kBoundedRead)).empty());
 }
@@ -54,7 +54,7 @@
   fixture.reportPrimary(1);
   fixture.advanceTime(100ms);
   fixture.reportPrimary(3);
-  fixture.reportPosition(1, 90ms, true);  // an old report that came late
+  fixture.reportPosition(1, 90ms, true);  // an old report that arrives late
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kWrite)), 3u);
 }
 
@@ -72,7 +72,7 @@
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kWrite)), 3u);
 }
 
-TEST(EndpointTable, DrainingAndRemovedEndpointsGetNoRequestsFromThatEventOn) {
+TEST(EndpointTable, DrainingAndRemovedEndpointsGetNoFurtherRequests) {
   BalancerFixture fixture;
   fixture.updateEndpoints({BalancerFixture::endpointUpdate(1, Lifecycle::Draining),
                            BalancerFixture::endpointUpdate(2, Lifecycle::Removed)});
@@ -82,7 +82,7 @@
       << "listed as ready again, and 3 is absent from a complete list";
 }
 
-TEST(EndpointTable, OnlyDrainingForbidsRequestsWhereRemovedEndpointsServe) {
+TEST(EndpointTable, OnlyDrainingForbidsRequestsIfRemovedEndpointsAcceptThem) {
   Settings settings = defaultSettings();
   settings.removedEndpointsAcceptRequests = true;
   BalancerFixture fixture(settings);
@@ -97,7 +97,7 @@
   EXPECT_EQ(used, (std::set<EndpointId>{2, 3}));
 }
 
-TEST(EndpointTable, OnlyEndpointsThatAreGoneAndIdleAreRemoved) {
+TEST(EndpointTable, OnlyDepartedAndIdleEndpointsAreRemoved) {
   BalancerFixture fixture;
   fixture.reportPrimary(1);
   const RequestId id = fixture.submit(kEventualRead);
@@ -111,7 +111,7 @@
   EXPECT_EQ(fixture.balancer.removeDeparted(fixture.now), std::vector<EndpointId>{idle});
   fixture.endAttempt(id, AttemptStatus::Ok, kFromReplica);
   EXPECT_EQ(fixture.balancer.removeDeparted(fixture.now), std::vector<EndpointId>{busy});
-  fixture.reportPosition(idle, 0ms);  // late: ignored
+  fixture.reportPosition(idle, 0ms);  // ignored, because the endpoint is unknown by now
   fixture.updateEndpoints({BalancerFixture::endpointUpdate(idle)});
   fixture.advanceTime(20000ms);
   EXPECT_TRUE(fixture.balancer.removeDeparted(fixture.now).empty()) << "it is listed again";
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,5 +1,5 @@
-// Drives a LoadBalancer by hand: an endpoint list, a write, a bounded read and a failure. Prints the
-// decisions.
+// An example of an embedding program: passes an endpoint list, a write, a read and a failure to a
+// LoadBalancer and prints its decisions.
 #include <chrono>
 #include <cstdio>
 #include <string>
@@ -14,7 +14,7 @@
 constexpr int kBoundedRead = 0;
 constexpr int kWrite = 1;
 
-// Prints the actions that a real program would carry out.
+// Prints the actions that an embedding program would carry out.
 class PrintingSink : public ActionSink {
  public:
   int sends = 0;
@@ -37,9 +37,9 @@
   void cancel(RequestId id, int attempt) override {
     std::printf("  cancel %d/%d\n", static_cast<int>(id), attempt);
   }
-  // A real program calls LoadBalancer::onTimer when the timer is due.
+  // An embedding program calls LoadBalancer::onTimer when the timer is due.
   void scheduleTimer(Duration /*delay*/, TimerToken /*token*/) override {}
-  // A real program requests a load report from the endpoint.
+  // An embedding program sends a health check to the endpoint.
   void checkHealth(EndpointId /*endpoint*/) override {}
   void broadcast(const GossipMessage& /*message*/) override {}
   void pollDiscovery() override {}
@@ -67,7 +67,7 @@
 Settings exampleSettings() {
   Settings settings;
   settings.classes = {boundedReads(), writes()};       // in the order of kBoundedRead and kWrite
-  settings.staleReadPolicy = StaleReadPolicy::Reject;  // endpoints reject reads that they lag too far for
+  settings.staleReadPolicy = StaleReadPolicy::Reject;  // endpoints reject reads that require newer data
   settings.positionsInResponses = true;
   settings.maxAttempts = 4;
   return settings;
@@ -97,10 +97,10 @@
   return outcome;
 }
 
-// The replica, endpoint 1, turns the write away; the primary, endpoint 2, commits it.
-void playWrite(LoadBalancer& balancer, TimePoint& now) {
+// The replica, endpoint 1, rejects the write; the primary, endpoint 2, commits it.
+void runWrite(LoadBalancer& balancer, TimePoint& now) {
   constexpr RequestId kId = 10;
-  std::printf("a write: no primary is known, so endpoints are tried by id\n");
+  std::printf("a write: the primary is unknown, so the endpoints are tried in order of their ids\n");
   balancer.onRequest(now, makeRequest(kId, kWrite, now + 3s));
 
   AttemptOutcome rejected = makeOutcome(kId, 0, 1, AttemptStatus::TooStale);
@@ -115,10 +115,11 @@
   balancer.onAttemptOutcome(now, committed);
 }
 
-// The connection to the replica breaks; the primary answers. Returns whether the endpoints were those.
-bool playRead(LoadBalancer& balancer, const PrintingSink& sink, TimePoint& now) {
+// The connection to the replica breaks and the primary answers. Returns whether the attempts were sent to
+// these endpoints.
+bool runRead(LoadBalancer& balancer, const PrintingSink& sink, TimePoint& now) {
   constexpr RequestId kId = 11;
-  std::printf("a bounded read whose replica fails it: it is retried at the primary\n");
+  std::printf("a bounded read: the connection to the replica breaks, so it is retried at the primary\n");
   balancer.onRequest(now, makeRequest(kId, kBoundedRead, now + 1s));
   if (sink.lastEndpoint != 1) return false;
 
@@ -141,8 +142,8 @@
 
   std::printf("a list of two endpoints\n");
   balancer.onEndpointList(now, EndpointListKind::Full, {readyEndpoint(1), readyEndpoint(2)});
-  playWrite(balancer, now);
-  if (!playRead(balancer, sink, now)) return 1;
+  runWrite(balancer, now);
+  if (!runRead(balancer, sink, now)) return 1;
 
   std::printf("%d sends, %d rejected or failed\n", sink.sends, sink.finalResponses);
   return sink.sends == 4 && sink.finalResponses == 0 ? 0 : 1;
--- a/tests/fixed_window_test.cpp
+++ b/tests/fixed_window_test.cpp
@@ -1,4 +1,4 @@
-// A window over the latest values.
+// Tests of the window of latest values.
 #include "balancer/fixed_window.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/gossip_policy_test.cpp
+++ b/tests/gossip_policy_test.cpp
@@ -1,4 +1,4 @@
-// Tests of broadcasts between proxies: what is sent, how often, and what is made of it.
+// Tests of broadcasts between proxies: their contents, their rate and their effect on the receiver.
 #include "balancer_fixture.hpp"
 
 namespace stonebay::test {
@@ -10,20 +10,21 @@
   return settings;
 }
 
-// event4996: each of a hundred proxies got a report of an endpoint every few seconds only, so that each read
-// cost health checks.
-TEST(GossipPolicy, ReportToOneProxySparesTheOthersTheirHealthChecks) {
+// Guards against a health check for almost every read: without gossip, each of a hundred proxies received a
+// report of a given endpoint only every few seconds.
+TEST(GossipPolicy, ReportToOneProxyMakesHealthChecksOfTheOthersUnnecessary) {
   BalancerFixture sender(settingsWithGossip());
   BalancerFixture receiver(settingsWithGossip());
   sender.reportPrimary(1);
   sender.reportPosition(2, 40ms);
   sender.reportPosition(2, 30ms);
-  ASSERT_EQ(sender.actions.broadcasts.size(), 2u) << "one message an endpoint, then none for a while";
+  ASSERT_EQ(sender.actions.broadcasts.size(), 2u)
+      << "one message per endpoint, then none for kBroadcastInterval";
   for (const GossipMessage& message : sender.actions.broadcasts)
     receiver.balancer.onGossip(receiver.now, message);
   receiver.advanceTime(20ms);
   receiver.reportPosition(2, 0ms);
-  EXPECT_TRUE(receiver.actions.broadcasts.empty()) << "all proxies have just been notified of it";
+  EXPECT_TRUE(receiver.actions.broadcasts.empty()) << "all proxies have just received a broadcast of it";
   const RequestId read = receiver.submit(kBoundedRead);
   const RequestId write = receiver.submit(kWrite);
   EXPECT_EQ(receiver.actions.count(ActionKind::HealthCheck), 0u);
@@ -35,25 +36,26 @@
   EXPECT_EQ(receiver.actions.broadcasts.size(), 2u);
 }
 
-// A day on which messages are lost on the way: no proxy learned of the others' broadcasts, and all 300
-// broadcast everything.
+// Guards against a flood of broadcasts when messages are lost: no proxy learned of the broadcasts of the
+// others, and all 300 proxies broadcast every report.
 TEST(GossipPolicy, BroadcastRateStaysBelowTwiceTheProxysShareWhenNoGossipArrives) {
   Settings settings = settingsWithGossip();
   for (const int proxies : {3, 300}) {
     settings.proxyCount = proxies;
     BalancerFixture fixture(settings);
-    constexpr int kReports = 1200;  // one in 50 ms: a minute
+    constexpr int kReports = 1200;  // one every 50 ms, for a minute
     for (int k = 0; k < kReports; ++k) {
       fixture.reportPosition(2, 0ms);
       fixture.advanceTime(50ms);
     }
-    const double share = 60 / 0.25 / proxies;  // one message in a quarter of a second from all of them
+    const double share = 60 / 0.25 / proxies;  // all proxies together: one message every 250 ms
     EXPECT_GT(fixture.actions.broadcasts.size(), share);
     EXPECT_LT(fixture.actions.broadcasts.size(), 2.5 * share + 1);
   }
 }
 
-// Day 4 of the full score: each of a hundred proxies checked all endpoints of a group to find its primary.
+// Guards against redundant health checks during primary discovery: each of a hundred proxies checked all
+// endpoints of a group.
 TEST(GossipPolicy, EndpointsWithRecentGossipAreNotCheckedDuringPrimaryDiscovery) {
   BalancerFixture fixture(settingsWithGossip());
   const RequestId id = fixture.submit(kWrite);
@@ -77,7 +79,7 @@
   EXPECT_EQ(fixture.actions.count(ActionKind::Send), 1u);
 }
 
-TEST(GossipPolicy, NothingIsBroadcastWhereGossipIsNotAllowed) {
+TEST(GossipPolicy, NothingIsBroadcastIfGossipIsNotAllowed) {
   BalancerFixture fixture;
   fixture.reportPosition(2, 0ms);
   EXPECT_TRUE(fixture.actions.broadcasts.empty());
--- a/tests/invariant_checker.cpp
+++ b/tests/invariant_checker.cpp
@@ -25,13 +25,13 @@
   TrackedRequest& request = requests.at(id);
   ASSERT_FALSE(request.isFinished) << "a send after the final response";
   ASSERT_LT(request.attempts.size(), static_cast<std::size_t>(settings_.maxAttempts));
-  ASSERT_NO_FATAL_FAILURE(checkEndpointIsOpen(endpoints[endpoint]));
-  ASSERT_NO_FATAL_FAILURE(checkMayRunAgain(now, request));
+  ASSERT_NO_FATAL_FAILURE(checkEndpointAcceptsRequests(endpoints[endpoint]));
+  ASSERT_NO_FATAL_FAILURE(checkMayBeSentAgain(now, request));
   ASSERT_NO_FATAL_FAILURE(checkStaleness(now, endpoints[endpoint], request));
   request.attempts.push_back({endpoint, now});
 }
 
-void InvariantChecker::checkEndpointIsOpen(const EndpointState& state) const {
+void InvariantChecker::checkEndpointAcceptsRequests(const EndpointState& state) const {
   if (settings_.removedEndpointsAcceptRequests) {
     ASSERT_FALSE(state.isDraining);
   } else {
@@ -39,13 +39,13 @@
   }
 }
 
-void InvariantChecker::checkMayRunAgain(TimePoint now, const TrackedRequest& request) const {
+void InvariantChecker::checkMayBeSentAgain(TimePoint now, const TrackedRequest& request) const {
   const ClassSettings& itsClass = classOf(request);
   if (!settings_.hedgingAllowed || itsClass.idempotency == Idempotency::NonIdempotent) {
-    ASSERT_FALSE(request.hasAttemptInFlight()) << "two attempts at the same time";
+    ASSERT_FALSE(request.hasAttemptInFlight()) << "two attempts in flight at the same time";
   }
   if (itsClass.idempotency == Idempotency::NonIdempotent) {
-    ASSERT_FALSE(request.mayHaveRun) << "a retry of what may have run";
+    ASSERT_FALSE(request.mayHaveRun) << "a retry of a request that may have been executed";
   }
   if (itsClass.idempotency == Idempotency::IdempotencyKey && request.mayHaveRun) {
     ASSERT_LT(now, request.mayHaveRunSince + itsClass.deduplicationWindow);
@@ -59,7 +59,8 @@
   if (itsClass.consistency == Consistency::Write) return;
   const bool isBounded = itsClass.consistency == Consistency::BoundedStaleness;
   const TimePoint required = isBounded ? now - itsClass.maxStaleness : request.requiredPosition;
-  ASSERT_GE(state.provenPosition, required) << "a stale send";
+  ASSERT_GE(state.provenPosition, required)
+      << "a send to an endpoint whose data is not proven to be new enough";
 }
 
 void InvariantChecker::checkFinalResponse(RequestId id, ActionKind kind) {
@@ -72,7 +73,7 @@
   const bool mayBeRejected =
       itsClass.idempotency == Idempotency::Idempotent || everyEndpointDeduplicates || !mayRun;
   if (kind == ActionKind::Reject) {
-    ASSERT_TRUE(mayBeRejected) << "a rejection of what may have run";
+    ASSERT_TRUE(mayBeRejected) << "a rejection of a request that may have been executed";
   }
   request.isFinished = true;
 }
--- a/tests/invariant_checker.hpp
+++ b/tests/invariant_checker.hpp
@@ -1,4 +1,4 @@
-// What a sequence of events makes true of requests and endpoints, and the checks of actions against it.
+// Tracks the state of requests and endpoints through a sequence of events, and checks actions against it.
 #pragma once
 
 #include <cstddef>
@@ -18,24 +18,24 @@
   bool inFlight = true;
 };
 
-/// A request, its attempts, and what they mean for further ones.
+/// A request and its attempts.
 struct TrackedRequest {
   int classIndex = 0;
   std::uint64_t session = 0;
   TimePoint deadline{};
-  TimePoint requiredPosition{Duration(-1)};  ///< its data must hold all commits up to here
-  bool isFinished = false;                   ///< no final response is owed any more
-  bool mayHaveRun = false;
-  TimePoint mayHaveRunSince{};  ///< when the earliest attempt that may have run was sent
+  TimePoint requiredPosition{Duration(-1)};  ///< the data must include all commits up to here
+  bool isFinished = false;                   ///< the request needs no final response any more
+  bool mayHaveRun = false;                   ///< some attempt may have been executed
+  TimePoint mayHaveRunSince{};               ///< send time of the earliest such attempt
   std::vector<TrackedAttempt> attempts;
 
   bool hasAttemptInFlight() const { return earliestInFlight() < attempts.size(); }
-  /// The index of the earliest attempt that is in flight; attempts.size(): there is none.
+  /// Returns the index of the earliest attempt in flight, or attempts.size() if there is none.
   std::size_t earliestInFlight() const;
   void endAttempt(std::size_t attempt, bool attemptMayHaveRun);
 };
 
-/// An endpoint as the events so far make it.
+/// The state of an endpoint after the events so far.
 struct EndpointState {
   Lifecycle listed = Lifecycle::Removed;
   bool isDraining = false;
@@ -43,8 +43,8 @@
   TimePoint provenPosition{};
 };
 
-/// Holds the state that the events lead to (the caller keeps it up to date) and checks actions against it, by
-/// fatal assertions.
+/// Holds the state after the events so far, which the caller keeps up to date, and checks actions against it
+/// with fatal assertions.
 class InvariantChecker {
  public:
   std::map<RequestId, TrackedRequest> requests;
@@ -60,8 +60,8 @@
   void checkFinalResponse(RequestId, ActionKind);
 
  private:
-  void checkEndpointIsOpen(const EndpointState&) const;
-  void checkMayRunAgain(TimePoint now, const TrackedRequest&) const;
+  void checkEndpointAcceptsRequests(const EndpointState&) const;
+  void checkMayBeSentAgain(TimePoint now, const TrackedRequest&) const;
   void checkStaleness(TimePoint now, const EndpointState&, const TrackedRequest&) const;
 
   const Settings& settings_;
--- a/tests/latency_model_test.cpp
+++ b/tests/latency_model_test.cpp
@@ -1,4 +1,4 @@
-// Tests of class latencies, load and the probability that an answer is late.
+// Tests of class latencies, loads and the probability that a response is late.
 #include "balancer/latency_model.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     table.applyList(EndpointListKind::Full,
                     {BalancerFixture::endpointUpdate(1), BalancerFixture::endpointUpdate(2)});
   }
-  // An attempt that was sent `age` ago.
+  // Returns an attempt that was sent `age` ago.
   InFlightAttempt attemptOf(int classIndex, Duration age) const {
     return {1, 0, classIndex, 0, context.now - age, false};
   }
@@ -56,7 +56,7 @@
   EXPECT_EQ(latencies.silenceTimeout(kEventualRead), 400ms);
 }
 
-TEST_F(LatencyModelTest, HeavyClassHasALowerShareOfARequestCount) {
+TEST_F(LatencyModelTest, ExpensiveClassHasALowerCostShare) {
   answer(1, kEventualRead, 100ms);
   answer(1, kBoundedRead, 300ms);
   EXPECT_DOUBLE_EQ(latencies.costShare(kEventualRead), 1);
@@ -64,12 +64,13 @@
   EXPECT_DOUBLE_EQ(latencies.costShare(kWrite), 1) << "its latency is not known yet";
 }
 
-TEST_F(LatencyModelTest, AttemptIsPresumedLostOnceYoungerOnesAreAnswered) {
+TEST_F(LatencyModelTest, AttemptIsPresumedLostOnceLaterOnesAreAnswered) {
   answer(1, kEventualRead, 100ms);
   Endpoint& endpoint = table.at(1);
   const InFlightAttempt old = attemptOf(kEventualRead, 500ms);
   endpoint.latestAnsweredSentAt = context.now - 300ms;
-  EXPECT_FALSE(latencies.isPresumedLost(endpoint, old)) << "the answered one is in the older half of its age";
+  EXPECT_FALSE(latencies.isPresumedLost(endpoint, old))
+      << "the answered attempt was sent in the first half of its time in flight";
   endpoint.latestAnsweredSentAt = context.now - 200ms;
   EXPECT_TRUE(latencies.isPresumedLost(endpoint, old));
   EXPECT_FALSE(latencies.isPresumedLost(endpoint, attemptOf(kEventualRead, 390ms)))
@@ -83,7 +84,7 @@
 TEST_F(LatencyModelTest, SamplesOfAllEndpointsTogetherWeighAsOne) {
   for (int k = 0; k < 4; ++k) answer(2, kEventualRead, 100ms);
   answer(1, kEventualRead, 10ms);
-  // Of the recent samples of all, four in five miss 50 ms; the endpoint's own one does not.
+  // Four of the five recent samples of all endpoints miss 50 ms; the endpoint's own sample does not.
   EXPECT_NEAR(estimate(1, kEventualRead, 50ms).missProbability, 0.8 / 2, 1e-9);
 }
 
@@ -94,20 +95,20 @@
   EXPECT_DOUBLE_EQ(estimate(1, kEventualRead, 500ms, MissScope::QueueingOnly).missProbability, 0);
 }
 
-TEST_F(LatencyModelTest, AttemptThatIsOutForLongerThanTheBudgetCountsAsAMiss) {
+TEST_F(LatencyModelTest, AttemptInFlightForLongerThanTheBudgetCountsAsAMiss) {
   answer(1, kEventualRead, 10ms);
   table.at(1).inFlight.push_back(attemptOf(kEventualRead, 60ms));
   EXPECT_NEAR(estimate(1, kEventualRead, 50ms).missProbability, 1.0 / 3, 1e-9);
   EXPECT_DOUBLE_EQ(estimate(1, kEventualRead, 100ms).missProbability, 0);
 }
 
-TEST_F(LatencyModelTest, LoadIsTheOwnOneOrTheReportedOneOfAllProxies) {
+TEST_F(LatencyModelTest, LoadIsThatOfThisProxyOrTheReportedOneOfAllProxies) {
   EXPECT_TRUE(latencies.isIdle(table.at(1)));
   table.at(1).inFlight.push_back(attemptOf(kEventualRead, 1ms));
   EXPECT_DOUBLE_EQ(latencies.loadOf(table.at(1)), 1);
   table.at(1).load = {7, context.now};
   EXPECT_DOUBLE_EQ(latencies.loadOf(table.at(1)), 7);
-  EXPECT_DOUBLE_EQ(latencies.loadOf(table.at(2)), 7) << "without a report it counts as its group's mean";
+  EXPECT_DOUBLE_EQ(latencies.loadOf(table.at(2)), 7) << "without a report the mean of the group is assumed";
 }
 
 }  // namespace
--- a/tests/load_balancer_test.cpp
+++ b/tests/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// Tests of what joins the parts: settings, the one final response, late sends, idleness and determinism.
+// Tests of LoadBalancer as a whole: settings, final responses, delayed sends, idle timers and determinism.
 #include <stdexcept>
 #include <string>
 
@@ -39,7 +39,7 @@
   EXPECT_EQ(fixture.actions.count(ActionKind::Reject, id), 1u);
 }
 
-TEST(LoadBalancer, StaleDataDrainingOrTheEndOfTheRequestMakeALateSendIneligible) {
+TEST(LoadBalancer, StaleDataDrainingOrTheEndOfTheRequestMakeADelayedSendIneligible) {
   BalancerFixture fixture;
   fixture.reportPosition(1, 0ms);
   const RequestId id = fixture.submit(kBoundedRead);
@@ -48,7 +48,7 @@
   EXPECT_FALSE(fixture.balancer.isStillEligible(fixture.now + 600ms, id, 1));  // the bound is 500 ms
   fixture.advanceTime(600ms);
   fixture.reportPosition(1, 0ms);
-  EXPECT_TRUE(fixture.balancer.isStillEligible(fixture.now, id, 1));  // by the newer report
+  EXPECT_TRUE(fixture.balancer.isStillEligible(fixture.now, id, 1));  // because of the newer report
   fixture.updateEndpoints({BalancerFixture::endpointUpdate(1, Lifecycle::Draining)});
   EXPECT_FALSE(fixture.balancer.isStillEligible(fixture.now, id, 1));
   fixture.updateEndpoints({BalancerFixture::endpointUpdate(1)});
@@ -83,7 +83,7 @@
   fixture.balancer.onTimer(fixture.now, TimerToken::decode(~0ull));
   const RequestId id = fixture.submit(kEventualRead);
   fixture.endAttempt(id, AttemptStatus::Ok);
-  fixture.endAttempt(id, AttemptStatus::Error);  // looks like a second outcome of the same attempt
+  fixture.endAttempt(id, AttemptStatus::Error);  // a second outcome of the same attempt
   EXPECT_FALSE(fixture.hasFinalResponse(id));
 }
 
@@ -96,7 +96,7 @@
   EXPECT_EQ(fixture.actions.count(ActionKind::Timer), before);
 }
 
-std::string playFixedEvents() {
+std::string actionsOfFixedEvents() {
   BalancerFixture fixture;
   for (int k = 0; k < 50; ++k) {
     const RequestId id = fixture.submit(k % 4);
@@ -112,7 +112,9 @@
   return transcript;
 }
 
-TEST(LoadBalancer, SameEventsGiveTheSameActions) { EXPECT_EQ(playFixedEvents(), playFixedEvents()); }
+TEST(LoadBalancer, SameEventsGiveTheSameActions) {
+  EXPECT_EQ(actionsOfFixedEvents(), actionsOfFixedEvents());
+}
 
 }  // namespace
 }  // namespace stonebay::test
--- a/tests/load_report_test.cpp
+++ b/tests/load_report_test.cpp
@@ -1,4 +1,4 @@
-// Decoding of load reports.
+// Tests of the decoding of load reports.
 #include "balancer/load_report.hpp"
 
 #include <gtest/gtest.h>
@@ -23,14 +23,14 @@
   EXPECT_EQ(report.inFlight, 12);
 }
 
-TEST(LoadReport, APositionIsNeverNewerThanItsValue) {
+TEST(LoadReport, PositionIsRoundedDown) {
   const LoadReport report = decodeLoadReport({8.5F}, reportSettings());
   const TimePoint exact(std::chrono::milliseconds(1008500));
   EXPECT_LT(*report.position, exact);
   EXPECT_GE(*report.position, exact - std::chrono::microseconds(2));
 }
 
-TEST(LoadReport, LeavesOutWhatIsMissingOrOutOfRange) {
+TEST(LoadReport, IgnoresValuesThatAreMissingOrOutOfRange) {
   const float infinite = std::numeric_limits<float>::infinity();
   const LoadReport report = decodeLoadReport({-1.0F, 0.0F, 0.0F, infinite}, reportSettings());
   EXPECT_FALSE(report.position.has_value());
--- a/tests/miss_tally_test.cpp
+++ b/tests/miss_tally_test.cpp
@@ -1,4 +1,4 @@
-// Latencies counted against a limit.
+// Tests of the counter of latencies that exceed a limit.
 #include "balancer/miss_tally.hpp"
 
 #include <gtest/gtest.h>
@@ -18,17 +18,17 @@
   EXPECT_DOUBLE_EQ(tally.meanLatency(), 100);
 }
 
-TEST(MissTally, WhatWasNeverAnsweredCountsWithFourTimesTheLimit) {
+TEST(MissTally, NeverAnsweredAttemptCountsAsFourTimesTheLimit) {
   MissTally tally(100);
   tally.add(std::numeric_limits<double>::infinity());
   EXPECT_DOUBLE_EQ(tally.missShare(), 1);
   EXPECT_DOUBLE_EQ(tally.meanLatency(), 400);
 }
 
-TEST(MissTally, CondensedSamplesWeighAsOne) {
+TEST(MissTally, CollapsedSamplesCountAsOne) {
   MissTally tally(100);
   for (int sample = 0; sample < 4; ++sample) tally.add(200);
-  tally.condense(0);
+  tally.collapseToOneSample(0);
   tally.add(50);
   EXPECT_DOUBLE_EQ(tally.missShare(), 0.5);
   EXPECT_DOUBLE_EQ(tally.meanLatency(), 125);
@@ -36,7 +36,7 @@
 
 TEST(MissTally, WithoutSamplesTheFallbackCountsAsInTime) {
   MissTally tally(100);
-  tally.condense(70);
+  tally.collapseToOneSample(70);
   EXPECT_DOUBLE_EQ(tally.missShare(), 0);
   EXPECT_DOUBLE_EQ(tally.meanLatency(), 70);
 }
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Tests of ejection: silence, broken connections, immediate failures, and the health checks that decide.
+// Tests of ejection after missing responses, broken connections, immediate failures and health checks.
 #include <set>
 #include <vector>
 
@@ -7,23 +7,24 @@
 namespace stonebay::test {
 namespace {
 
-// Gives the balancer samples of 20 ms for every endpoint.
+// Gives the balancer latency samples of 20 ms for every endpoint.
 void warmUp(BalancerFixture& fixture) {
   for (int k = 0; k < 30; ++k) fixture.serve(kEventualRead, 20ms);
 }
 
-// Found by reasoning: an endpoint that hangs is sorted first, with a window full of good samples. Its silence
-// is the evidence.
+// Guards against selecting an endpoint that hangs: it is the least recently used one and its window contains
+// only good samples, so it can be detected only by its missing responses.
 TEST(OutlierDetection, SilentEndpointIsEjectedAndItsReadsAreRetriedElsewhere) {
   BalancerFixture fixture;
   warmUp(fixture);
   const RequestId stuck = fixture.submit(kEventualRead);
   const EndpointId hung = fixture.lastEndpoint(stuck);
   fixture.runTimers(110ms);
-  ASSERT_EQ(fixture.actions.count(ActionKind::HealthCheck), 1u) << "is it dead, or was a response lost?";
+  ASSERT_EQ(fixture.actions.count(ActionKind::HealthCheck), 1u)
+      << "it shows whether the endpoint is down or only a response was lost";
   EXPECT_EQ(fixture.actions.count(ActionKind::Cancel, stuck), 0u);
-  // Deployment ankara-schools, run big-2: the health check is not answered either; to wait for its timeout
-  // cost reads.
+  // The health check is not answered either. The attempt is cancelled before the health check has timed out,
+  // because reads were lost when the proxy waited for that.
   fixture.runTimers(60ms);
   ASSERT_EQ(fixture.actions.count(ActionKind::Cancel, stuck), 1u);
   EXPECT_EQ(fixture.sends(stuck).size(), 1u) << "no second attempt before the outcome of the first";
@@ -38,8 +39,8 @@
   }
 }
 
-// Incident if8264e: connections broke at random on all endpoints; each reset ejected one, and then all
-// requests were rejected.
+// Guards against ejecting healthy endpoints (incident if8264e): connections broke at random on all endpoints,
+// each reset ejected one, and finally all requests were rejected.
 TEST(OutlierDetection, SingleResetDoesNotEject) {
   BalancerFixture fixture(defaultSettings(), 1);
   fixture.serve(kEventualRead);
@@ -49,7 +50,7 @@
   EXPECT_FALSE(fixture.sends(fixture.submit(kEventualRead)).empty());
 }
 
-TEST(OutlierDetection, ConnectFailureWithNoResponseSinceEjects) {
+TEST(OutlierDetection, ConnectFailureWithoutALaterResponseEjects) {
   Settings settings = defaultSettings();
   settings.healthChecksAllowed = false;
   BalancerFixture fixture(settings, 1);
@@ -59,8 +60,8 @@
   EXPECT_EQ(fixture.sends(fixture.submit(kEventualRead)).size(), 0u);
 }
 
-// Deployment muscat-guides, where connections were reset at random, new ones too: endpoints were ejected in
-// turn, each for a reset.
+// Guards against ejecting healthy endpoints one after another when established and new connections are reset
+// at random.
 TEST(OutlierDetection, HealthCheckDecidesAfterBrokenConnections) {
   for (const bool isAnswered : {true, false}) {
     BalancerFixture fixture(defaultSettings(), 1);
@@ -81,7 +82,8 @@
   }
 }
 
-// Fails up to five attempts of a request for as long as they go to endpoint 1; returns how many did.
+// Fails up to five attempts of a request as long as they are sent to endpoint 1. Returns the number of failed
+// attempts.
 int failAttemptsAtEndpointOne(BalancerFixture& fixture, RequestId id) {
   int failed = 0;
   while (failed < 5 && !fixture.hasFinalResponse(id) && fixture.lastEndpoint(id) == 1) {
@@ -92,7 +94,7 @@
   return failed;
 }
 
-TEST(OutlierDetection, EndpointThatFailsFastLosesItsTurn) {
+TEST(OutlierDetection, EndpointThatFailsFastIsEjected) {
   BalancerFixture fixture;
   int failedAtOne = 0;
   for (int k = 0; k < 60; ++k) {
@@ -104,9 +106,8 @@
   EXPECT_LE(failedAtOne, 6);
 }
 
-// Deployment istanbul-main-later: responses were lost, and endpoints that went on answering health checks
-// were ejected in turn.
-TEST(OutlierDetection, AnsweredHealthCheckTellsALostResponseFromAHungEndpoint) {
+// Guards against ejecting endpoints because responses were lost, although they still answer health checks.
+TEST(OutlierDetection, EndpointThatAnswersAHealthCheckIsNotEjectedForALostResponse) {
   BalancerFixture fixture;
   warmUp(fixture);
   const RequestId lost = fixture.submit(kEventualRead);
@@ -125,8 +126,8 @@
   EXPECT_EQ(used.count(endpoint), 1u) << "it is not ejected";
 }
 
-// Three bounded reads fail at once at replica 2, which ejects it; one is retried at the primary, endpoint 1.
-// The replica then reports a new position.
+// Three bounded reads fail immediately at replica 2, which is ejected. One is retried at the primary,
+// endpoint 1. The replica then reports a new position.
 void ejectReplicaTwo(BalancerFixture& fixture) {
   std::vector<RequestId> reads;
   for (int k = 0; k < 3; ++k) reads.push_back(fixture.submit(kBoundedRead));
@@ -140,9 +141,9 @@
   fixture.reportPosition(2, 10ms);
 }
 
-// Deployment muscat-guides, faults lag and fast_errors together: reads were rejected for a primary at its
-// capacity, while a replica with fresh data failed only some.
-TEST(OutlierDetection, ReadThatABusyPrimaryCannotTakeGoesToAnEndpointThatFailsFast) {
+// Guards against rejecting reads because the primary is at its capacity, while an ejected replica has fresh
+// data and fails only some requests. It happens when some replicas lag and others return immediate errors.
+TEST(OutlierDetection, ReadIsSentToAnEndpointThatFailsFastIfThePrimaryIsBusy) {
   BalancerFixture fixture(defaultSettings(), 2);
   fixture.reportPrimary(1);
   fixture.reportPosition(2, 10ms);
@@ -159,8 +160,8 @@
   EXPECT_EQ(atReplica, 1);
 }
 
-// Deployment muscat-guides, fault fast_errors on a primary: three immediate errors kept all writes waiting
-// for up to 8 s, while it answered half of what it got.
+// Guards against an ejected primary blocking all writes: after three immediate errors, writes waited for up
+// to 8 s, although the primary answered half of them.
 TEST(OutlierDetection, PrimaryThatFailsFastStillGetsWritesUntilItsConnectionFails) {
   BalancerFixture fixture;
   fixture.reportPrimary(1);
@@ -170,7 +171,7 @@
     fixture.endAttempt(id, AttemptStatus::Error, fixture.evidence(0ms, Role::Primary));
     fixture.advanceTime(1ms);
   }
-  // One whose connection fails is presumed down and gets nothing for a while.
+  // A primary to which no connection can be established is presumed down and ejected.
   const RequestId last = fixture.submit(kWrite);
   fixture.endAttempt(last, AttemptStatus::ConnectFailed);
   fixture.failHealthCheck(1);
@@ -178,7 +179,7 @@
   EXPECT_NE(fixture.lastEndpoint(next), 1u);
 }
 
-TEST(OutlierDetection, ReadIsRetriedAtAnEndpointThatFailsFastWhereNoOtherCanTakeIt) {
+TEST(OutlierDetection, ReadIsRetriedAtAnEndpointThatFailsFastIfNoOtherIsAvailable) {
   BalancerFixture fixture(defaultSettings(), 1);
   fixture.reportPrimary(1);
   const RequestId served = fixture.submit(kBoundedRead);
@@ -187,7 +188,7 @@
   const RequestId id = fixture.submit(kBoundedRead);
   for (int k = 0; k < 5; ++k) {
     ASSERT_EQ(fixture.sends(id).size(), static_cast<std::size_t>(k + 1));
-    // An immediate failure: it does not draw on the retry budget.
+    // An immediate failure does not draw on the retry budget.
     fixture.endAttempt(id, AttemptStatus::Error, fixture.evidence(0ms, Role::Primary));
   }
   fixture.endAttempt(id, AttemptStatus::Ok, fixture.evidence(0ms, Role::Primary));
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -1,4 +1,4 @@
-// Long, fixed sequences of legal but adverse events, and the invariants that hold in all of them.
+// Checks invariants of the LoadBalancer in long pseudo-random sequences of valid but adverse events.
 #include <algorithm>
 #include <array>
 #include <map>
@@ -27,8 +27,8 @@
   return settings;
 }
 
-// Plays one sequence of events and checks the actions after each event. The order of the calls of pick()
-// decides the sequence.
+// Generates one sequence of events and checks the actions after each event. The sequence depends on the order
+// of the calls of pick().
 class EventSequence {
  public:
   explicit EventSequence(int variant)
@@ -38,13 +38,13 @@
     for (EndpointId id = 1; id <= kEndpoints; ++id) checker_.endpoints[id].listed = Lifecycle::Ready;
   }
 
-  void play() {
+  void run() {
     for (int step = 0; step < kSteps; ++step) {
       fixture_.advanceTime(step % 997 == 0 ? 7s : milliseconds(pick(8)));  // the clock may jump ahead
       ASSERT_NO_FATAL_FAILURE(fireTimers());
       ASSERT_NO_FATAL_FAILURE(timeOutAttempts());
       ASSERT_NO_FATAL_FAILURE(answerHealthChecks());
-      ASSERT_NO_FATAL_FAILURE(playRandomEvent());
+      ASSERT_NO_FATAL_FAILURE(generateRandomEvent());
       ASSERT_NO_FATAL_FAILURE(checkNewActions());
     }
     for (const auto& [id, request] : checker_.requests)
@@ -65,7 +65,7 @@
     }
   }
 
-  // Attempts time out at the client's deadline, which the embedding program watches.
+  // The embedding program ends attempts at the client's deadline.
   void timeOutAttempts() {
     for (auto& [id, request] : checker_.requests) {
       if (fixture_.now < request.deadline) continue;
@@ -102,7 +102,7 @@
     fixture_.reportPosition(endpoint, age, isPrimary);
   }
 
-  void playRandomEvent() {
+  void generateRandomEvent() {
     switch (pick(8)) {
       case 0:
       case 1:
@@ -113,7 +113,7 @@
         changeEndpointList();
         break;
       case 4:
-        leaveLatestRequest();
+        abandonLatestRequest();
         break;
       default:
         endSomeAttempt();
@@ -134,8 +134,8 @@
     fixture_.submit(request.classIndex, request.session, static_cast<float>(sessionTokenAgeMs), deadline);
   }
 
-  // The latest commit of a session, by its token or by the responses to its writes; -1: it has written
-  // nothing.
+  // Returns the latest commit of a session, from its token or from the responses to its writes; -1 if it has
+  // not written.
   TimePoint lastCommitOf(std::uint64_t session, Duration tokenAge) const {
     if (fixture_.settings.requestsCarrySessionToken)
       return tokenAge > Duration(0) ? fixture_.now - tokenAge : TimePoint(Duration(-1));
@@ -157,7 +157,7 @@
     }
   }
 
-  void leaveLatestRequest() {
+  void abandonLatestRequest() {
     if (checker_.requests.empty() || pick(20) != 0) return;
     auto& [id, request] = *checker_.requests.rbegin();
     request.isFinished = true;
@@ -197,7 +197,7 @@
     return kStatuses[static_cast<std::size_t>(pick(9))];
   }
 
-  // Responses give the endpoint's role; that to a write gives the position of its commit as well.
+  // Responses state the endpoint's role; those to writes also state the position of the commit.
   void addEvidence(AttemptOutcome& outcome, Consistency consistency, bool isPrimary) {
     const bool isResponse = outcome.status == AttemptStatus::Ok ||
                             outcome.status == AttemptStatus::TooStale ||
@@ -265,14 +265,14 @@
   std::map<std::uint64_t, TimePoint> sessionCommits_;
   std::multimap<TimePoint, TimerToken> timers_;
   std::multimap<TimePoint, EndpointId> healthChecks_;
-  std::size_t checkedActions_ = 0;  // of fixture_.actions.recorded
+  std::size_t checkedActions_ = 0;  // number of entries of fixture_.actions.recorded
 };
 
 class AdverseEventSequences : public testing::TestWithParam<int> {};
 
 TEST_P(AdverseEventSequences, InvariantsHold) {
   EventSequence sequence(GetParam());
-  sequence.play();
+  sequence.run();
 }
 
 INSTANTIATE_TEST_SUITE_P(Variants, AdverseEventSequences, testing::Range(0, 32));
--- a/tests/read_set_test.cpp
+++ b/tests/read_set_test.cpp
@@ -1,4 +1,4 @@
-// Tests of how replica selection weighs the loads that endpoints report.
+// Tests of the influence of reported loads on replica selection.
 #include <vector>
 
 #include "balancer_fixture.hpp"
@@ -18,7 +18,7 @@
   return settings;
 }
 
-// Deployment ankara-schools-later: most proxies learn of an endpoint's queue from its reports only.
+// With many proxies, most of them learn of the queue of an endpoint only from its load reports.
 TEST(ReadSet, LessLoadedOfTwoReplicasIsChosenByTheirReports) {
   BalancerFixture fixture(settingsWithReportedLoadAndStaleReadsRejected());
   fixture.reportPrimary(3);
@@ -31,17 +31,17 @@
   const RequestId id = fixture.submit(kEventualRead);
   ASSERT_TRUE(fixture.sends(id).empty());
   fixture.reportLoad(1, false, 60);
-  EXPECT_TRUE(fixture.sends(id).empty()) << "the other one's report is still to come";
+  EXPECT_TRUE(fixture.sends(id).empty()) << "the report of the other replica has not arrived";
   fixture.reportLoad(2, false, 1);
   EXPECT_EQ(fixture.lastEndpoint(id), 2u);
 }
 
-// Three replicas whose turn comes one after another, and a primary. Two replicas hold the same load; the
-// third one is idle, and the proxy knows so or has no report of any.
+// Three replicas in order of their last use, and a primary. Two replicas have the same load and the third one
+// is idle. The proxy has reports of all replicas, or of none before the read is submitted.
 struct LoadedGroup {
   BalancerFixture fixture{settingsWithReportedLoadAndStaleReadsRejected(), 4};
-  EndpointId third = 0;  // the replica that is last in turn
-  RequestId id = 0;      // the read that is submitted once the loads are as described
+  EndpointId third = 0;  // the most recently used replica
+  RequestId id = 0;      // the read that is submitted with these loads
 
   explicit LoadedGroup(bool thirdIsKnownIdle, int inFlight = 8, Duration reportAge = Duration(0)) {
     warmUp();
@@ -75,17 +75,17 @@
   }
 };
 
-// event4996: two replicas together reached the target probability and neither alone did: the read was
-// rejected immediately, while others were idle.
-TEST(ReadSet, BusyReplicasArePassedOverInsteadOfRejectingTheRead) {
+// Guards against rejecting a read while replicas are idle: two busy replicas reached the target probability
+// only together, and the read was rejected without considering the others.
+TEST(ReadSet, BusyReplicasAreSkippedInsteadOfRejectingTheRead) {
   LoadedGroup group(true);
   ASSERT_EQ(group.fixture.sends(group.id).size(), 1u) << "rejected";
   EXPECT_EQ(group.fixture.lastEndpoint(group.id), group.third) << "the idle replica, not the primary";
 }
 
-// A variant's calm day: for a second after one report of an idle replica, all of 300 proxies sent there,
-// whatever load the others of its group had by then.
-TEST(ReadSet, OldReportOfAnIdleReplicaIsWeighedAgainstItsGroup) {
+// Guards against a rush to one replica: for a second after a report of an idle replica, all 300 proxies sent
+// their reads there, although the loads of its group had changed by then.
+TEST(ReadSet, OldReportOfAnIdleReplicaIsAveragedWithItsGroup) {
   LoadedGroup fresh(true, 30, 0ms);
   LoadedGroup old(true, 30, 600ms);
   ASSERT_EQ(fresh.fixture.sends(fresh.id).size(), 1u);
@@ -94,16 +94,16 @@
   EXPECT_TRUE(old.fixture.hasFinalResponse(old.id));
 }
 
-// Another deployment, without gossip: each of 300 proxies took every replica without a report for idle, and
-// complete groups were overloaded one after another.
-TEST(ReadSet, ReplicaWithoutAReportIsTakenToBeAsLoadedAsItsGroup) {
+// Guards against overload without gossip: each of 300 proxies took every replica without a report to be idle,
+// and complete groups were overloaded one after another.
+TEST(ReadSet, ReplicaWithoutAReportIsAssumedToHaveTheMeanLoadOfItsGroup) {
   LoadedGroup group(false);
   EXPECT_TRUE(group.fixture.sends(group.id).empty());
   EXPECT_TRUE(group.fixture.hasFinalResponse(group.id));
 }
 
-// event7574: a hundred proxies learned that one replica was idle and all sent there for a quarter of a
-// second.
+// Guards against a rush to one replica: a hundred proxies learned that it was idle, and all sent their reads
+// there for a quarter of a second.
 TEST(ReadSet, OldReportOfALoadCountsForLessThanTheMeanOfItsGroup) {
   BalancerFixture fixture(settingsWithReportedLoad());
   fixture.reportLoad(1, true, 60);
--- a/tests/recording_sink.hpp
+++ b/tests/recording_sink.hpp
@@ -14,25 +14,25 @@
 /// The calls of ActionSink other than broadcast().
 enum class ActionKind { Send, Reject, Fail, Cancel, Timer, HealthCheck, PollDiscovery, Log };
 
-/// One call of an ActionSink; what does not apply to its kind stays 0.
+/// One call of an ActionSink. Fields that do not apply to its kind are 0.
 struct Action {
   ActionKind kind = ActionKind::Log;
   RequestId request = 0;
   EndpointId endpoint = 0;
-  TimePoint until{};  ///< Send: until when
-  Duration time{};    ///< Reject: Retry-After; Timer: the interval
+  TimePoint until{};  ///< Send: when the attempt times out
+  Duration time{};    ///< Reject: Retry-After; Timer: the delay
   int attempt = 0;
   EndReason reason{};  ///< Reject and Fail
   TimerToken token;
-  TimePoint dueAt{};  ///< Timer: when it is due on the sink's clock
+  TimePoint dueAt{};  ///< Timer: when it expires on the sink's clock
 };
 
-/// Records actions in their order, and broadcasts apart from them.
+/// Records all actions in order; broadcasts are recorded separately.
 class RecordingSink : public ActionSink {
  public:
   std::vector<Action> recorded;
   std::vector<GossipMessage> broadcasts;
-  const TimePoint* clock = nullptr;  ///< may be null: timers are due counted from 0
+  const TimePoint* clock = nullptr;  ///< if null, the due times of timers count from 0
 
   void send(RequestId id, EndpointId endpoint, TimePoint until) override {
     Action action = make(ActionKind::Send, id);
@@ -72,7 +72,7 @@
   void pollDiscovery() override { recorded.push_back(make(ActionKind::PollDiscovery)); }
   void log(const std::string& /*line*/) override { recorded.push_back(make(ActionKind::Log)); }
 
-  /// The actions of a kind, of one request or (0) of all.
+  /// Returns the actions of a kind for one request, or for all requests if `id` is 0.
   std::vector<Action> of(ActionKind kind, RequestId id = 0) const {
     std::vector<Action> found;
     std::copy_if(recorded.begin(), recorded.end(), std::back_inserter(found), [&](const Action& action) {
--- a/tests/replica_selection_test.cpp
+++ b/tests/replica_selection_test.cpp
@@ -1,4 +1,4 @@
-// Tests of which endpoint a read goes to: staleness, order of use, the primary's part.
+// Tests of the selection of endpoints for reads: staleness, order of last use, and use of the primary.
 #include <set>
 #include <vector>
 
@@ -12,7 +12,7 @@
   EXPECT_TRUE(fixture.sends(fixture.submit(kBoundedRead)).empty());
   fixture.reportPosition(2, 100ms);
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kBoundedRead)), 2u);
-  fixture.advanceTime(450ms);  // 550 ms old now, the bound is 500
+  fixture.advanceTime(450ms);  // 550 ms old, more than the bound of 500 ms
   EXPECT_TRUE(fixture.sends(fixture.submit(kBoundedRead)).empty());
 }
 
@@ -25,11 +25,12 @@
   fixture.reportPosition(2, 10ms);  // from before the commit
   fixture.reportPosition(3, 10ms);
   const RequestId read = fixture.submit(kReadYourWritesRead, 5);
-  EXPECT_TRUE(fixture.sends(read).empty()) << "a replica may have it by now: two health checks are out";
+  EXPECT_TRUE(fixture.sends(read).empty())
+      << "a replica may have applied it by now: two health checks are in flight";
   fixture.reportPosition(2, 30ms);
-  EXPECT_EQ(fixture.lastEndpoint(read), 1u) << "only the primary has it for certain";
+  EXPECT_EQ(fixture.lastEndpoint(read), 1u) << "only the primary is certain to have the commit";
   EXPECT_NE(fixture.lastEndpoint(fixture.submit(kReadYourWritesRead, 6)), 1u)
-      << "another session wrote nothing: replicas will do";
+      << "another session has not written, so any replica suffices";
   fixture.advanceTime(30ms);
   fixture.reportPosition(2, 1ms);
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kReadYourWritesRead, 5)), 2u);
@@ -43,10 +44,10 @@
   EXPECT_TRUE(fixture.sends(fixture.submit(kReadYourWritesRead, 5, 99.0f)).empty());
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kReadYourWritesRead, 5, 101.0f)), 2u);
   EXPECT_FALSE(fixture.sends(fixture.submit(kReadYourWritesRead, 5, 0.0f)).empty())
-      << "no write: any data will do";
+      << "the session has not written, so any data suffices";
 }
 
-TEST(ReplicaSelection, StrongReadGoesToThePrimary) {
+TEST(ReplicaSelection, StrongReadIsSentToThePrimary) {
   BalancerFixture fixture;
   fixture.reportPosition(2, 0ms);
   fixture.reportPosition(3, 0ms);
@@ -73,7 +74,7 @@
   EXPECT_EQ(used.size(), 3u);
 }
 
-TEST(ReplicaSelection, PrimaryIsSparedWhileReplicasReachTheTargetProbability) {
+TEST(ReplicaSelection, PrimaryIsNotUsedWhileReplicasReachTheTargetProbability) {
   BalancerFixture fixture;
   fixture.reportPrimary(1);
   for (int k = 0; k < 20; ++k) {
@@ -84,10 +85,10 @@
   }
 }
 
-// Endpoints 1 and 2 become late, one sample in two each, while the samples of all together are mostly in
-// time: their probabilities fall short of the target, and the primary, of which nothing else is known, joins
-// the read set and is the best of it.
-TEST(ReplicaSelection, PrimaryJoinsWhenReplicasFallShortOfTheTargetProbability) {
+// Half of the latest samples of endpoints 1 and 2 are late, while most samples of all endpoints are in time.
+// The replicas do not reach the target probability. The primary has no samples of its own, so it is added to
+// the read set as its best endpoint.
+TEST(ReplicaSelection, PrimaryIsAddedIfReplicasDoNotReachTheTargetProbability) {
   BalancerFixture fixture;
   fixture.reportPrimary(3);
   RequestId id = 0;
@@ -99,7 +100,8 @@
   EXPECT_EQ(fixture.lastEndpoint(id), 3u);
 }
 
-// Found on the bench (izmir-glaze): long reads took turns on all replicas and made each of them stale.
+// Guards against making every replica stale: long reads were sent to all replicas in turn and made each of
+// them lag.
 TEST(ReplicaSelection, EventualReadsLeaveUpToDateReplicasToBoundedReads) {
   BalancerFixture fixture;
   fixture.reportPosition(1, 10ms);
@@ -114,8 +116,7 @@
   EXPECT_NE(fixture.lastEndpoint(fixture.submit(kBoundedRead)), 2u);
 }
 
-// Found on the bench (istanbul-main-later, run big-2: the busiest server at 12 times the mean): all proxies
-// began with the same endpoint.
+// Guards against all proxies starting with the same endpoint: the busiest server had 12 times the mean load.
 TEST(ReplicaSelection, ProxiesStartWithDifferentEndpoints) {
   std::set<EndpointId> initial;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -125,7 +126,7 @@
   EXPECT_EQ(initial.size(), 3u);
 }
 
-// Deployment istanbul-main-later: a proxy with a few requests a second never held a proven position.
+// Guards against the lack of proven positions at a proxy with only a few requests per second.
 TEST(ReplicaSelection, BoundedReadWaitsForTheFirstHealthCheckThatProvesAPosition) {
   BalancerFixture fixture;
   fixture.reportPrimary(1);
@@ -136,11 +137,11 @@
   fixture.reportPosition(healthChecks[0].endpoint, 100ms);
   EXPECT_EQ(fixture.lastEndpoint(id), healthChecks[0].endpoint);
   const RequestId second = fixture.submit(kBoundedRead);
-  EXPECT_FALSE(fixture.sends(second).empty()) << "a replica with a proven position is at hand";
+  EXPECT_FALSE(fixture.sends(second).empty()) << "a replica with a proven position is known";
 }
 
 // Endpoint 1 is the primary; replicas 2 and 3 lag by 5 s, 4 and 5 by 10 ms. Submits a bounded read, answers
-// the health checks that it causes, and returns the endpoints that they went to.
+// the health checks that it causes, and returns the endpoints that were checked.
 std::set<EndpointId> checkedForBoundedRead(BalancerFixture& fixture) {
   std::set<EndpointId> checked;
   const std::size_t before = fixture.actions.count(ActionKind::HealthCheck);
@@ -157,9 +158,9 @@
   return checked;
 }
 
-// Deployment muscat-guides, replicas that lag: two that got no sends stayed next in turn and were the only
-// ones checked, while the positions of all others grew too old.
-TEST(ReplicaSelection, LaggingReplicasLetTheOthersBeCheckedInTheirTurn) {
+// Guards against checking only lagging replicas: two of them received no requests, so they remained the least
+// recently used ones and the only ones checked, while the known positions of all others became too old.
+TEST(ReplicaSelection, LaggingReplicasDoNotPreventHealthChecksOfOthers) {
   BalancerFixture fixture(defaultSettings(), 5);
   fixture.reportPrimary(1);
   std::set<EndpointId> checked;
--- a/tests/retry_policy_test.cpp
+++ b/tests/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Tests of attempts by idempotency, and of the budgets for retries and hedged requests.
+// Tests of the attempts that idempotency allows, and of the budgets for retries and hedged requests.
 #include <ostream>
 #include <string>
 
@@ -22,7 +22,7 @@
   const char* name;
 };
 
-// Else gtest prints the bytes, padding included, into the tests' names.
+// Without this, gtest would print the bytes of the parameter, including padding, into the test names.
 void PrintTo(const StatusCase& statusCase, std::ostream* out) { *out << statusCase.name; }
 
 class RetryPolicyByStatus : public testing::TestWithParam<StatusCase> {};
@@ -91,14 +91,14 @@
   EXPECT_EQ(fixture.actions.count(ActionKind::Reject, id), 1u);
 }
 
-// Ends the attempts of a set after the first one, which the balancer has cancelled by now.
+// Ends all attempts after the first one, which the balancer has cancelled.
 void endCancelledAttempts(BalancerFixture& fixture, RequestId id) {
   const int sent = static_cast<int>(fixture.sends(id).size());
   for (int attempt = 1; attempt < sent; ++attempt)
     fixture.endAttempt(id, AttemptStatus::Cancelled, {}, attempt);
 }
 
-TEST(RetryPolicy, HedgedRequestsAreSentOnlyWhereAllowedAndWithinTheirBudget) {
+TEST(RetryPolicy, HedgedRequestsAreSentWithinTheirBudget) {
   Settings settings = defaultSettings();
   settings.hedgingAllowed = true;
   BalancerFixture fixture(settings);
@@ -124,12 +124,12 @@
   for (int k = 0; k < 4; ++k) {
     ASSERT_EQ(fixture.sends(id).size(), static_cast<std::size_t>(k + 1));
     fixture.endAttempt(id, AttemptStatus::Reset);
-    if (k == 2) fixture.reportPosition(1, 0ms);  // answers the health check that three failures cause
+    if (k == 2) fixture.reportPosition(1, 0ms);  // answers the health check after three failures
   }
 }
 
-// Deployment istanbul-main-later, run big-2: hundreds of proxies, each with a retry budget saved up, fed an
-// overload from the start.
+// Guards against retries that feed an overload: hundreds of proxies had saved up retry budget and used it
+// when the overload began.
 TEST(RetryPolicy, UnusedRetryBudgetDecaysWithTime) {
   BalancerFixture fixture;
   for (int k = 0; k < 60; ++k) fixture.serve(kEventualRead, 300ms);
@@ -138,7 +138,7 @@
   for (int k = 0; k < 20; ++k) {
     const RequestId id = fixture.submit(kEventualRead);
     if (fixture.sends(id).empty()) continue;  // endpoints are ejected
-    fixture.advanceTime(160ms);               // not an immediate failure: the endpoint worked on it
+    fixture.advanceTime(160ms);               // too long for an immediate failure
     fixture.endAttempt(id, AttemptStatus::Error, kFromReplica);
     ++failed;
     if (fixture.sends(id).size() < 2) continue;
--- a/tests/seeded_hash_test.cpp
+++ b/tests/seeded_hash_test.cpp
@@ -1,4 +1,4 @@
-// Pseudo-random numbers by seed and key.
+// Tests of the seeded hash function.
 #include "balancer/seeded_hash.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/session_commits_test.cpp
+++ b/tests/session_commits_test.cpp
@@ -1,4 +1,4 @@
-// The last writes of sessions.
+// Tests of the record of the last commit of each session.
 #include "balancer/session_commits.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   EXPECT_EQ(commits.size(), 2U);
 }
 
-TEST(SessionCommits, EvictionLeavesTheLatestCommitOfAll) {
+TEST(SessionCommits, EvictionReturnsTheLatestCommitOfAllSessions) {
   SessionCommits commits;
   commits.record(1, TimePoint(Duration(20)));
   commits.record(2, TimePoint(Duration(30)));
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the share of requests that an endpoint gets while it warms up.
+// Tests of the share of requests that an endpoint receives while it warms up.
 #include "balancer_fixture.hpp"
 
 namespace stonebay::test {
@@ -6,8 +6,8 @@
 
 constexpr int kProxies = 300;
 
-// Found on the bench (izmir-glaze-later, ankara-schools-later): hundreds of proxies, each of which sent one
-// request at a time to an endpoint that had just started, overloaded it.
+// Guards against overloading an endpoint that has just started: hundreds of proxies each sent it only one
+// request at a time, which was too much in total.
 TEST(SlowStart, ManyProxiesTogetherStayWithinTheCapacityOfAWarmingEndpoint) {
   int sentToWarming = 0;
   int submitted = 0;
@@ -21,13 +21,13 @@
       if (fixture.lastEndpoint(id) == 1) ++sentToWarming;
     }
   }
-  // A warm endpoint's share is a third of the requests; a warming one has at least a fifth of that capacity
-  // and gets half of it.
+  // A warm endpoint serves a third of the requests. A warming one has at least a fifth of that capacity, and
+  // may receive half as many requests as that.
   EXPECT_GT(sentToWarming, 0);
   EXPECT_LE(sentToWarming, submitted / 3 / 5);
 }
 
-TEST(SlowStart, ShareIsTakenOfTheInitialGroupAlthoughTheOtherEndpointsAreGone) {
+TEST(SlowStart, ShareIsThatOfTheLargestKnownGroupAfterOtherEndpointsAreRemoved) {
   BalancerFixture fixture;
   fixture.balancer.onEndpointList(fixture.now, EndpointListKind::Full,
                                   {BalancerFixture::endpointUpdate(1, Lifecycle::Ready, fixture.now)});
@@ -38,7 +38,7 @@
   EXPECT_LE(sent, 300 / 3 / 5);
 }
 
-// Incident i4914d4: proxies that looked for a primary overloaded warming replicas with misrouted writes.
+// Guards against primary discovery overloading warming replicas with writes (incident i4914d4).
 TEST(SlowStart, MisroutedWritesCountTowardsTheShareOfAWarmingEndpoint) {
   int sentToWarming = 0;
   for (std::uint64_t seed = 1; seed <= kProxies; ++seed) {
@@ -46,12 +46,12 @@
     fixture.nextRequestId = 1000 * seed;
     fixture.updateEndpoints({BalancerFixture::endpointUpdate(1, Lifecycle::Ready, fixture.now)});
     const RequestId id = fixture.submit(kWrite);
-    if (fixture.lastEndpoint(id) == 1) ++sentToWarming;  // no primary is known, 1 is the lowest id
+    if (fixture.lastEndpoint(id) == 1) ++sentToWarming;  // the primary is unknown, and 1 is the lowest id
   }
   EXPECT_LE(sentToWarming, kProxies / 3 / 5);
 }
 
-// The share of reads that a warming endpoint gets of 300 proxies, with or without loads in the reports.
+// Returns the share of the reads of 300 proxies that is sent to a warming endpoint.
 double shareOfWarmingEndpoint(const Settings& settings, bool loadIsReported) {
   constexpr int kReadsPerProxy = 4;
   int sentToWarming = 0;
@@ -72,8 +72,9 @@
   return sentToWarming / static_cast<double>(kProxies * kReadsPerProxy);
 }
 
-// event6935: after a release two warm replicas of six were overloaded while four warming ones, known to be
-// idle, got next to nothing and the rest was rejected.
+// Guards against leaving warming endpoints idle: after a release, two warm replicas of a group of six were
+// overloaded and reads were rejected, while the four warming ones received almost none although their reports
+// showed that they were idle.
 TEST(SlowStart, ReportedLoadAdmitsReadsUpToTheCapacityOfAWarmingEndpoint) {
   Settings settings = defaultSettings();
   settings.reportFields = {ReportField::Position, ReportField::Primary, ReportField::InFlight};
@@ -82,7 +83,8 @@
   const double withReports = shareOfWarmingEndpoint(settings, true);
   const double capacity = 0.2 + 0.8 * 5 / 10;
   EXPECT_GT(withReports, 2 * withoutReports);
-  EXPECT_LT(withReports, 1.6 * capacity / 3) << "never more than half above its share, whatever it reports";
+  EXPECT_LT(withReports, 1.6 * capacity / 3)
+      << "it must not exceed its share by much more than half, whatever it reports";
 }
 
 }  // namespace
--- a/tests/token_budget_test.cpp
+++ b/tests/token_budget_test.cpp
@@ -1,4 +1,4 @@
-// A budget for retries and hedged requests.
+// Tests of the budget for retries and hedged requests.
 #include "balancer/token_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   EXPECT_FALSE(budget.tryTake());
 }
 
-TEST(TokenBudget, WhatExceedsOneTokenDecays) {
+TEST(TokenBudget, TokensBeyondOneDecay) {
   TokenBudget budget(4);
   budget.deposit(0, 0.5);
   EXPECT_TRUE(budget.tryTake());
