--- a/tests/write_routing_test.cpp
+++ b/tests/write_routing_test.cpp
@@ -1,4 +1,4 @@
-// Tests of primary discovery and of where writes go.
+// Tests of primary discovery and of the routing of writes.
 #include "balancer_fixture.hpp"
 
 namespace stonebay::test {
@@ -21,7 +21,8 @@
   EXPECT_EQ(fixture.lastEndpoint(other), 2u);
 }
 
-// Found by the example program: a write that a replica turns away says nothing of how it serves reads.
+// Guards against a latency sample from a write that a replica rejected, which does not show how fast the
+// replica serves reads.
 TEST(WriteRouting, MisroutedWriteLeavesNoLatencySample) {
   BalancerFixture fixture;
   const RequestId id = fixture.submit(kWrite);
@@ -32,8 +33,8 @@
   EXPECT_EQ(fixture.lastEndpoint(fixture.submit(kEventualRead)), 1u);
 }
 
-// A release on day 4 of the full score: writes used up all their attempts on replicas while a primary was
-// elected, and were rejected seconds before their deadline.
+// Guards against rejecting writes seconds before their deadline: while a new primary was elected, they used
+// up all their attempts on replicas.
 TEST(WriteRouting, LastAttemptOfAWriteIsReservedForThePrimary) {
   BalancerFixture fixture(defaultSettings(), 7);
   const RequestId id = fixture.submit(kWrite);
@@ -41,7 +42,7 @@
     const std::size_t before = fixture.sends(id).size();
     if (before > 0) fixture.endAttempt(id, AttemptStatus::TooStale, kFromReplica);
     fixture.updateEndpoints(
-        {BalancerFixture::endpointUpdate(7)});  // any change of the list resumes the search
+        {BalancerFixture::endpointUpdate(7)});  // any change of the list resumes the discovery
     fixture.runTimers(20ms);
     if (fixture.sends(id).size() == before) break;
   }
