--- a/src/balancer/latency_model.hpp
+++ b/src/balancer/latency_model.hpp
@@ -32,7 +32,8 @@
   /// Returns the mean latency of all classes divided by that of this class, but at most 1. A limit on the
   /// number of requests is multiplied by it, so that fewer requests of an expensive class are admitted.
   double costShare(int classIndex) const;
-  /// Returns the time without a response after which an endpoint is suspected to have failed.
+  /// Returns the time without a response after which an endpoint is suspected to have failed. It is the
+  /// latency objective of the class until a latency has been observed.
   Duration silenceTimeout(int classIndex) const;
   /// Returns whether an attempt is lost rather than queued: it exceeds the silence timeout, and an attempt
   /// that was sent in the second half of its time in flight has been answered. Lost attempts do not count as
--- a/src/balancer/replica_selection.hpp
+++ b/src/balancer/replica_selection.hpp
@@ -1,9 +1,11 @@
 // Selection of the endpoints that a read is sent to.
 //
-// The mechanism is that of the paper on probabilistic replica selection. Each read is sent to the smallest
-// set of replicas, least recently used first, for which the probability that at least one of them answers by
-// the deadline reaches a target. The probability that a replica's data is new enough is part of the estimate.
-// The first answer is used. The primary is added only if the replicas do not reach the target.
+// The mechanism is that of the paper on probabilistic replica selection. For each read it selects the
+// smallest set of replicas, least recently used first, for which the probability that at least one of them
+// answers by the deadline reaches a target. The probability that a replica's data is new enough is part of
+// the estimate. The primary is added only if the replicas do not reach the target. The read is sent to the
+// best endpoint of the set and, as hedged requests, to the others if that is allowed. The first answer is
+// used.
 #pragma once
 
 #include <vector>
--- a/src/balancer/state.hpp
+++ b/src/balancer/state.hpp
@@ -17,7 +17,7 @@
 struct LatencySample {
   double latency;  ///< microseconds; kNeverAnswered if there was no response
   int classIndex;
-  double load;   ///< LatencyModel::loadOf() the endpoint when the attempt was sent
+  double load;   ///< LatencyModel::loadOf() when the attempt was sent
   TimePoint at;  ///< when the attempt ended
 };
 
@@ -28,7 +28,7 @@
   RequestId request;
   int attempt;
   int classIndex;
-  double load;  ///< LatencyModel::loadOf() the endpoint when the attempt was sent
+  double load;  ///< LatencyModel::loadOf() when the attempt was sent
   TimePoint sentAt;
   bool knownStale;  ///< the endpoint's known position was older than the request required
 };
@@ -71,7 +71,7 @@
   EndpointId primary = 0;             ///< 0 means unknown
   TimePoint lastFaultAt = kNever;
   TimePoint primaryRequestedAt = kNever;  ///< when a write was last routed
-  RequestId discoveryRequest = 0;         ///< the write that is tried on all endpoints; 0 means none
+  RequestId discoveryRequest = 0;         ///< the write that is tried to find the primary; 0 means none
   /// Version of the endpoint list in which all endpoints have been tried without finding the primary.
   std::uint64_t discoveryExhaustedVersion = 0;
   TimePoint evictedCommit = kNever;  ///< latest commit of all sessions that are no longer remembered
@@ -95,7 +95,7 @@
   LatencyWindow freshSamples;  ///< of attempts without InFlightAttempt::knownStale
   LatencyWindow staleSamples;  ///< of attempts with InFlightAttempt::knownStale
   std::vector<InFlightAttempt> inFlight;
-  TimePoint lastUsedAt = kNever;            ///< orders the endpoints for selection, see ReplicaSelector
+  TimePoint lastUsedAt = kNever;            ///< the least recently used endpoint is selected first
   TimePoint lastAnswerAt = kNever;          ///< last attempt that ended as Ok, TooStale or Rejected
   TimePoint lastResponseAt = kNever;        ///< last such attempt, answered health check or gossip
   TimePoint latestAnsweredSentAt = kNever;  ///< latest send time among the successful attempts
--- a/src/balancer/tuning.hpp
+++ b/src/balancer/tuning.hpp
@@ -57,13 +57,13 @@
 constexpr int kConsecutiveFailuresToEject = 3;
 constexpr Duration kMinEjection = milliseconds(500);
 constexpr Duration kMaxEjection = seconds(8);
-// How long an endpoint that rejects a request receives no further ones.
+// How long an endpoint receives no further requests after it has rejected one.
 constexpr Duration kRejectionPause = milliseconds(250);
 // Short, because endpoints answer health checks without queueing them behind requests.
 constexpr Duration kHealthCheckTimeout = milliseconds(25);
 // With a single check, the endpoint that is checked may be the worse one of two.
 constexpr std::size_t kHealthChecksPerSend = 2;
-// A request waits for health checks for its latency objective divided by this.
+// A request waits for health checks for at most the latency objective of its class divided by this.
 constexpr int kHealthCheckWaitDivisor = 8;
 // Minimum interval between the health checks of an endpoint while its group has no known primary.
 constexpr Duration kPrimaryDiscoveryInterval = milliseconds(250);
