--- a/src/dispatch/attempt_result.hpp
+++ b/src/dispatch/attempt_result.hpp
@@ -1,4 +1,4 @@
-// The end of an attempt, as the upstream connection reports it.
+// The result of an attempt, as the upstream connection reports it.
 #pragma once
 
 #include <cstdint>
@@ -9,14 +9,15 @@
 
 namespace stonebay {
 
-/// How an attempt ended, and what its response said of the endpoint.
+/// How an attempt ended, and what its response reported about the endpoint.
 struct AttemptResult {
   AttemptStatus status = AttemptStatus::Reset;
   Role role = Role::Unknown;
-  std::int64_t positionMs = 0;    ///< Unix time in milliseconds; 0: none was reported
-  bool invalidStatement = false;  ///< the endpoint rejected the statement itself: no other would accept it
-  std::vector<double> report;     ///< load report, positions in Unix seconds; may be empty
-  Buffer response;                ///< AttemptStatus::Ok only
+  std::int64_t positionMs = 0;  ///< Unix time in milliseconds; 0 if none was reported
+  /// The endpoint rejected the statement as invalid, and so would any other endpoint.
+  bool invalidStatement = false;
+  std::vector<double> report;  ///< load report with positions in Unix seconds; may be empty
+  Buffer response;             ///< set only for AttemptStatus::Ok
 };
 
 }  // namespace stonebay
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr Duration kDepartedRemovalInterval = std::chrono::seconds(1);
-// A report whose position is further ahead is not used.
+// A load report whose corrected position is further ahead of the present is discarded.
 constexpr Duration kMaxPositionLead = std::chrono::seconds(1);
 constexpr double kMicrosecondsPerSecond = 1e6;
 
@@ -29,11 +29,11 @@
 Dispatcher::Dispatcher(event_base* base, const Config& config)
     : config_(config),
       now_(now()),
-      epoch_(now_),
+      positionEpoch_(now_),
       wakeUp_(event_new(
           base, -1, 0, [](evutil_socket_t, short, void*) {}, nullptr)) {
   Settings settings = config.settings;
-  settings.positionEpoch = epoch_.value();
+  settings.positionEpoch = positionEpoch_.value();
   balancer_ = std::make_unique<LoadBalancer>(settings, config.seed, static_cast<ActionSink&>(*this));
 }
 
@@ -98,26 +98,26 @@
 
 void Dispatcher::processEvents() {
   now_ = std::max(now_, now());
-  monitor_->onEvents(now_, events_.size());
-  if (epoch_.advance(now_)) balancer_->setPositionEpoch(epoch_.value());
+  monitor_->onEventsStart(now_, events_.size());
+  if (positionEpoch_.advance(now_)) balancer_->setPositionEpoch(positionEpoch_.value());
   std::vector<DispatchEvent> events;
   events.swap(events_);
   for (DispatchEvent& event : events) {
     monitor_->onEvent(event);
     std::visit([&](auto& alternative) { deliver(alternative); }, event);
   }
-  deliverTimers();
+  deliverDueTimers();
   if (now_ - departedRemovedAt_ >= kDepartedRemovalInterval) removeDeparted(now_);
   if (gossip_ && !gossipMessages_.empty()) gossip_->broadcast(gossipMessages_);
   gossipMessages_.clear();
-  monitor_->onActions(now(), actions_.size());
+  monitor_->onActionsStart(now(), actions_.size());
   runActions();
   scheduleWakeUp();
   monitor_->onPassEnd(now());
 }
 
-// Without this the tables would grow for as long as endpoints are replaced, since each new one has a new
-// name.
+// Each endpoint that replaces another one has a new name, so without this the tables would grow without
+// bound.
 void Dispatcher::removeDeparted(TimePoint now) {
   now_ = std::max(now_, now);
   departedRemovedAt_ = now_;
@@ -127,7 +127,7 @@
   }
 }
 
-// Actions may record events, but decide nothing: no further action is recorded meanwhile.
+// Actions may record events but never call the LoadBalancer, so no action is recorded while they run.
 void Dispatcher::runActions() {
   std::vector<std::function<void()>> actions;
   actions.swap(actions_);
@@ -171,10 +171,11 @@
   AttemptResult& result = event.result;
   correctReport(result.report);
   if (result.positionMs > 0) {
-    observeWallClock(fromUnixMs(result.positionMs), result.role == Role::Primary);
-    result.positionMs -= toMilliseconds(wallClock_.value());
+    updateWallClockCorrection(fromUnixMs(result.positionMs), result.role == Role::Primary);
+    result.positionMs -= toMilliseconds(wallClockCorrection_.value());
   }
-  const AttemptOutcome outcome = toAttemptOutcome(event, !wasInFlight, config_.settings.reportFields, epoch_);
+  const AttemptOutcome outcome =
+      toAttemptOutcome(event, !wasInFlight, config_.settings.reportFields, positionEpoch_);
   if (wasInFlight) {
     AttemptRecord& record = it->second.attempts[static_cast<std::size_t>(event.attempt)];
     record.endedAt = now_;
@@ -184,7 +185,7 @@
   balancer_->onAttemptOutcome(now_, outcome);
 }
 
-// Gives the client its final response: that of an attempt which succeeded, or a failure for a statement that
+// Gives the client its final response: the response of the successful attempt, or a failure if the statement
 // is invalid.
 void Dispatcher::respond(InFlightRequests::iterator entry, AttemptResult& result) {
   const InFlightRequest& request = entry->second;
@@ -200,7 +201,7 @@
     if (result.invalidStatement) {
       actions_.emplace_back([handler] { handler->onFailed(); });
     } else {
-      // std::function has to be copyable, a Buffer is not.
+      // std::function requires a copyable callable, and Buffer is not copyable.
       const auto response = std::make_shared<Buffer>(std::move(result.response));
       actions_.emplace_back([handler, response] { handler->onResponse(std::move(*response)); });
     }
@@ -210,7 +211,7 @@
 
 void Dispatcher::deliver(HealthCheckEnded& event) {
   correctReport(event.report);
-  balancer_->onHealthCheck(now_, toHealthCheckResult(event, config_.settings.reportFields, epoch_));
+  balancer_->onHealthCheck(now_, toHealthCheckResult(event, config_.settings.reportFields, positionEpoch_));
 }
 
 void Dispatcher::correctReport(std::vector<double>& report) {
@@ -224,24 +225,24 @@
   if (seconds <= 0) return;
   const bool isPrimary = primaryIndex < report.size() && report[primaryIndex] == 1;
   const TimePoint position(Duration(static_cast<std::int64_t>(seconds * kMicrosecondsPerSecond)));
-  observeWallClock(position, isPrimary);
-  seconds -= static_cast<double>(wallClock_.value().count()) / kMicrosecondsPerSecond;
-  if (position - wallClock_.value() > now_ + kMaxPositionLead) report.clear();
+  updateWallClockCorrection(position, isPrimary);
+  seconds -= static_cast<double>(wallClockCorrection_.value().count()) / kMicrosecondsPerSecond;
+  if (position - wallClockCorrection_.value() > now_ + kMaxPositionLead) report.clear();
 }
 
-void Dispatcher::observeWallClock(TimePoint position, bool isPrimary) {
-  const Duration change = wallClock_.observe(position, isPrimary, now_);
+void Dispatcher::updateWallClockCorrection(TimePoint position, bool isPrimary) {
+  const Duration change = wallClockCorrection_.observe(position, isPrimary, now_);
   if (change == Duration(0)) return;
   balancer_->shiftUnixTimes(now_, -change);
   logEvent(LogLevel::Warning, "wall_clock_corrected",
-           {{"by_us", change.count()}, {"total_us", wallClock_.value().count()}});
+           {{"by_us", change.count()}, {"total_us", wallClockCorrection_.value().count()}});
 }
 
 void Dispatcher::deliver(GossipReceived& event) {
-  // Proxies may know endpoints that the list here does not name.
+  // Other proxies may know endpoints that are not in this proxy's list.
   const std::optional<EndpointId> endpoint = ids_.findByGossipKey(event.message.key);
   if (!endpoint || event.message.positionMs <= 0) return;
-  event.message.positionMs -= toMilliseconds(wallClock_.value());
+  event.message.positionMs -= toMilliseconds(wallClockCorrection_.value());
   balancer_->onGossip(now_, fromGossip(event.message, *endpoint));
 }
 
@@ -254,33 +255,34 @@
   generation_ = event.list.generation;
   std::vector<EndpointUpdate> entries;
   for (const Instance& instance : event.list.instances) {
-    const bool cameAndWent = instance.state == Lifecycle::Removed && !ids_.contains(instance.name);
-    if (cameAndWent) continue;
+    const bool isUnknownRemoval = instance.state == Lifecycle::Removed && !ids_.contains(instance.name);
+    if (isUnknownRemoval) continue;
     const EndpointId id = ids_.assign(instance.name);
     entries.push_back(toEndpointUpdate(instance, id, config_.zones));
     TimePoint& started = entries.back().started;
-    if (started != TimePoint()) started = std::max(started - wallClock_.value(), TimePoint(Duration(1)));
+    if (started != TimePoint())
+      started = std::max(started - wallClockCorrection_.value(), TimePoint(Duration(1)));
     endpoints_->updateEndpoint(id, instance.address, instance.state == Lifecycle::Ready);
   }
-  if (kind != EndpointListKind::Delta) retireUnlisted(entries);
+  if (kind != EndpointListKind::Delta) markUnlistedNotReady(entries);
   balancer_->onEndpointList(now_, kind, entries);
 }
 
-// The very first list is the one from the configuration.
+// The first list is the one from the configuration; see start().
 EndpointListKind Dispatcher::listKind(const EndpointListUpdate& list) const {
   if (!ids_.anyAssigned() && generation_ == 0) return EndpointListKind::Cached;
   return list.reset ? EndpointListKind::Full : EndpointListKind::Delta;
 }
 
-// Endpoints that a complete list lacks get no new requests.
-void Dispatcher::retireUnlisted(const std::vector<EndpointUpdate>& listed) {
+// Endpoints that are missing from a complete list get no new requests.
+void Dispatcher::markUnlistedNotReady(const std::vector<EndpointUpdate>& listed) {
   std::unordered_set<EndpointId> listedIds;
   for (const EndpointUpdate& update : listed) listedIds.insert(update.id);
   for (const auto& [name, id] : ids_.byName())
     if (listedIds.count(id) == 0) endpoints_->updateEndpoint(id, Address(), false);
 }
 
-void Dispatcher::deliverTimers() {
+void Dispatcher::deliverDueTimers() {
   while (const std::optional<TimerToken> token = timers_.popDue(now_)) {
     monitor_->onTimer();
     balancer_->onTimer(now_, *token);
--- a/src/dispatch/dispatcher.hpp
+++ b/src/dispatch/dispatcher.hpp
@@ -1,5 +1,5 @@
-// Joins the network and the LoadBalancer: events are gathered, handed over in one batch, and the decisions
-// are carried out at its end. Knows requests, responses and endpoints, but no protocol.
+// Connects the network to the LoadBalancer: collects events, passes them to the LoadBalancer in batches, and
+// carries out its decisions at the end of each batch. Independent of the wire protocol.
 #pragma once
 
 #include <cstddef>
@@ -35,9 +35,10 @@
 
 /// Owns the LoadBalancer and the requests that have no final response yet.
 ///
-/// The on... functions and submit() only record an event, so they may be called from anywhere, the
-/// interfaces' callees included. processEvents() handles what was recorded; it has to be called after each
-/// pass of the event loop. Not thread-safe.
+/// submit() and the on...() functions only record what happened and never call the LoadBalancer. They may
+/// therefore be called at any time, including from within the dispatcher's own calls to EndpointPool,
+/// EndpointWatcher, GossipChannel and ResponseHandler. processEvents() handles the recorded events and must
+/// be called after each pass of the event loop. Not thread-safe.
 class Dispatcher final : public EndpointListHandler, ActionSink {
  public:
   /// The configuration must outlive the dispatcher.
@@ -46,51 +47,55 @@
   Dispatcher(const Dispatcher&) = delete;
   Dispatcher& operator=(const Dispatcher&) = delete;
 
-  /// Must be called once, before the first processEvents(); the interfaces must outlive the dispatcher's use.
-  /// Records the endpoint list that the configuration holds. No gossip: the other proxies are not reached.
+  /// Must be called once, before the first processEvents(). Records the endpoint list of the configuration as
+  /// the first event. The arguments must remain valid for as long as processEvents() is called. If `gossip`
+  /// is null, nothing is broadcast to the other proxies.
   void start(EndpointPool& endpoints, EndpointWatcher& watcher, GossipChannel* gossip = nullptr);
 
-  /// Records a request; returns the id that it gets here. The handler must stay valid until its final
-  /// response or onClientLeft().
+  /// Records a request and returns the id assigned to it. `handler` must stay valid until it has received the
+  /// final response or onClientLeft() has been called.
   RequestId submit(ResponseHandler& handler, Request request, ForwardedRequest message);
   void onClientLeft(RequestId id);
-  /// Whether an attempt may be written now. Since it was decided its request may have ended, its time be
-  /// over, or its client have left.
+  /// Returns whether an attempt of this request may still be written to its endpoint. Returns false if the
+  /// request has ended, its deadline has passed or its client has left since the attempt was decided.
   bool mayBeWritten(RequestId id) const;
-  /// An attempt has got its new connection; answered by EndpointPool::resumeAttempt.
+  /// A connection is ready for an attempt that had to wait for one. Answered by EndpointPool::resumeAttempt.
   void onConnected(RequestId id, int attempt);
   void onAttemptEnded(RequestId id, int attempt, EndpointId endpoint, AttemptResult result);
-  /// The load report has its positions in Unix seconds.
+  /// Positions in the load report are Unix times in seconds.
   void onHealthCheck(EndpointId endpoint, bool ok, const std::vector<double>& report);
   void onGossip(const gossip::Message& message);
   void onEndpointList(EndpointListUpdate list) override;
   void onListFailure(const std::string& why) override;
+  /// Starts the measurement of the pass, so that it includes the time for parsing the list.
   void onListInput() override { monitor_->onCallback(TimePoint(clock_.now())); }
 
-  /// Of the latest endpoint list that has been processed.
+  /// Returns the generation of the last endpoint list that has been processed.
   std::uint64_t generation() const override { return generation_; }
   bool hasPendingEvents() const { return !events_.empty(); }
-  /// Hands the recorded events and the timers that are due to the LoadBalancer, then carries out its
-  /// decisions.
+  /// Passes the recorded events and the due timers to the LoadBalancer, then carries out its decisions.
   void processEvents();
-  /// Drops the endpoints that have been gone and idle for long. processEvents() does so from time to time.
+  /// Removes the endpoints that were removed from the list some time ago and have nothing in flight.
+  /// processEvents() calls this about once per second.
   void removeDeparted(TimePoint now);
-  /// The present. The first reading in a pass of the event loop starts the measurement of the pass.
+  /// Returns the current time by this process's clock. The first call in a pass of the event loop starts the
+  /// measurement of the pass.
   TimePoint now() const;
-  /// The present by the clock of all other machines: differs from now() where this one's was wrong.
-  TimePoint unixNow() const { return now() + wallClock_.value(); }
+  /// Returns the current time by the clock of all other machines. It differs from now() by the correction of
+  /// this machine's wall clock; see WallClockCorrection.
+  TimePoint unixNow() const { return now() + wallClockCorrection_.value(); }
   /// See LoopMonitor::earliestArrival.
   TimePoint earliestArrival() const { return monitor_->earliestArrival(now()); }
   std::size_t requestsInFlight() const { return inFlight_.size(); }
   std::size_t endpointCount() const { return ids_.count(); }
-  /// Of the passes since the last call.
+  /// Returns the statistics of the passes since the last call.
   LoopStatistics takeLoopStatistics() { return monitor_->takeStatistics(); }
   const Clock& clock() const { return clock_; }
 
  private:
   using InFlightRequests = std::unordered_map<RequestId, InFlightRequest>;
 
-  // Events, during a batch.
+  // Handlers of the recorded events and the due timers, called by processEvents().
   void deliver(const RequestArrived& event);
   void deliver(const ClientLeft& event);
   void deliver(const AttemptConnected& event);
@@ -99,19 +104,20 @@
   void deliver(const EndpointListReceived& event);
   void deliver(const EndpointListFailed& event);
   void deliver(GossipReceived& event);
-  void deliverTimers();
+  void deliverDueTimers();
 
   void finish(RequestId id, RequestEnd end, EndReason reason, std::function<void(ResponseHandler&)> notify);
   void respond(InFlightRequests::iterator entry, AttemptResult& result);
   EndpointListKind listKind(const EndpointListUpdate& list) const;
-  void retireUnlisted(const std::vector<EndpointUpdate>& listed);
-  /// Corrects the position in a report; drops the report if it is of the future all the same.
+  void markUnlistedNotReady(const std::vector<EndpointUpdate>& listed);
+  /// Applies the wall clock correction to the position in a load report. Clears the report if its position is
+  /// still too far in the future.
   void correctReport(std::vector<double>& report);
-  void observeWallClock(TimePoint position, bool isPrimary);
+  void updateWallClockCorrection(TimePoint position, bool isPrimary);
   void runActions();
   void scheduleWakeUp();
 
-  // Decisions of the LoadBalancer: recorded, and carried out at the end of the batch.
+  // Decisions of the LoadBalancer. They are recorded, and carried out at the end of the batch.
   void send(RequestId id, EndpointId endpoint, TimePoint until) override;
   void reject(RequestId id, Duration retryAfter, EndReason reason) override;
   void fail(RequestId id, EndReason reason) override;
@@ -125,9 +131,9 @@
   const Config& config_;
   Clock clock_;
   const std::unique_ptr<LoopMonitor> monitor_ = std::make_unique<LoopMonitor>();
-  TimePoint now_;  // of this batch
-  PositionEpoch epoch_;
-  WallClockCorrection wallClock_;
+  TimePoint now_;  // time of the current batch
+  PositionEpoch positionEpoch_;
+  WallClockCorrection wallClockCorrection_;
   EndpointPool* endpoints_ = nullptr;
   EndpointWatcher* watcher_ = nullptr;
   GossipChannel* gossip_ = nullptr;
@@ -140,7 +146,7 @@
   RequestId lastRequestId_ = 0;
   TimePoint departedRemovedAt_{};
   TimerQueue timers_;
-  Event wakeUp_;  // ends a pass of the event loop when the next timer is due
+  Event wakeUp_;  // wakes up the event loop when the next timer is due
   std::unique_ptr<LoadBalancer> balancer_;
 };
 
--- a/src/dispatch/dispatcher_actions.cpp
+++ b/src/dispatch/dispatcher_actions.cpp
@@ -1,5 +1,5 @@
-// The Dispatcher as the LoadBalancer's ActionSink: decisions are recorded, and carried out at the end of the
-// batch.
+// The Dispatcher's implementation of ActionSink. The LoadBalancer's decisions are recorded, and carried out
+// at the end of the batch.
 #include <utility>
 
 #include "dispatch/dispatcher.hpp"
@@ -30,7 +30,7 @@
   finish(id, RequestEnd::Failed, reason, [](ResponseHandler& handler) { handler.onFailed(); });
 }
 
-// Records a final response that the LoadBalancer gives by itself.
+// Records the final response of a request that the LoadBalancer rejects or fails.
 void Dispatcher::finish(RequestId id, RequestEnd end, EndReason reason,
                         std::function<void(ResponseHandler&)> notify) {
   const auto it = inFlight_.find(id);
@@ -54,7 +54,7 @@
 void Dispatcher::broadcast(const GossipMessage& message) {
   const std::uint64_t key = EndpointIds::gossipKey(ids_.nameOf(message.endpoint));
   GossipMessage corrected = message;
-  corrected.position += wallClock_.value();
+  corrected.position += wallClockCorrection_.value();
   gossipMessages_.push_back(toGossip(corrected, key));
 }
 
--- a/src/dispatch/endpoint_ids.cpp
+++ b/src/dispatch/endpoint_ids.cpp
@@ -6,7 +6,7 @@
 namespace stonebay {
 namespace {
 
-// Stands for a gossip key that several names have. No endpoint has this id.
+// Marks a gossip key that several names share. No endpoint has this id.
 constexpr EndpointId kAmbiguous = 0;
 
 }  // namespace
--- a/src/dispatch/endpoint_ids.hpp
+++ b/src/dispatch/endpoint_ids.hpp
@@ -1,4 +1,4 @@
-// The ids under which this process knows the endpoints of the list.
+// The ids that this process assigns to the endpoints of the endpoint list.
 #pragma once
 
 #include <cstddef>
@@ -11,24 +11,24 @@
 
 namespace stonebay {
 
-/// Maps the names of endpoints, and the keys that proxies use for them in gossip, to ids.
+/// Maps the names of endpoints, and the keys that identify them in gossip, to ids.
 ///
-/// No id is given twice: events about an endpoint may come late, after it has been erased and its name has
-/// come back.
+/// Ids are never reused: events about an endpoint may arrive after it has been erased and its name has been
+/// assigned again.
 class EndpointIds {
  public:
-  /// The key of an endpoint's name in gossip, gossip::kKeyBits wide.
+  /// Returns the key that identifies an endpoint in gossip: a hash of its name, gossip::kKeyBits wide.
   static std::uint64_t gossipKey(const std::string& name);
 
-  /// The id of a name; a new one for a name that is not known.
+  /// Returns the id of `name`; assigns a new one if the name is unknown.
   EndpointId assign(const std::string& name);
   bool contains(const std::string& name) const { return idsByName_.count(name) != 0; }
-  /// Nothing for a key that no known name has, or that several have.
+  /// Returns std::nullopt if no known name has this key, or if several names have had it.
   std::optional<EndpointId> findByGossipKey(std::uint64_t key) const;
-  /// "?" for an id that is not known.
+  /// Returns "?" if the id is unknown.
   const std::string& nameOf(EndpointId id) const;
   std::size_t count() const { return idsByName_.size(); }
-  /// Whether an id was ever given.
+  /// Returns whether an id has ever been assigned.
   bool anyAssigned() const { return lastId_ != 0; }
   void erase(EndpointId id);
 
@@ -36,7 +36,7 @@
 
  private:
   std::unordered_map<std::string, EndpointId> idsByName_;
-  std::unordered_map<EndpointId, const std::string*> namesById_;  // the keys of idsByName_
+  std::unordered_map<EndpointId, const std::string*> namesById_;  // points to the keys of idsByName_
   std::unordered_map<std::uint64_t, EndpointId> idsByGossipKey_;
   EndpointId lastId_ = 0;
 };
--- a/src/dispatch/endpoint_pool.hpp
+++ b/src/dispatch/endpoint_pool.hpp
@@ -1,4 +1,4 @@
-// The interface of the upstream connections towards the dispatcher.
+// The interface through which the dispatcher uses the upstream connections.
 #pragma once
 
 #include <memory>
@@ -11,21 +11,22 @@
 
 /// Carries out attempts and health checks.
 ///
-/// Each send ends in exactly one Dispatcher::onAttemptEnded, each health check in exactly one
-/// Dispatcher::onHealthCheck. Both come after the call has returned, never from within it.
+/// Each send() leads to exactly one Dispatcher::onAttemptEnded and each checkHealth() to exactly one
+/// Dispatcher::onHealthCheck, possibly before the call returns.
 class EndpointPool {
  public:
   virtual ~EndpointPool() = default;
-  /// Adds an endpoint or changes it. `ready` false: it gets no new requests.
+  /// Adds or changes an endpoint. An endpoint that is not `ready` gets no new requests. An empty `address`
+  /// leaves the address unchanged.
   virtual void updateEndpoint(EndpointId id, const Address& address, bool ready) = 0;
-  /// `until` 0: the attempt ends when it is cancelled.
+  /// Starts an attempt, which times out at `until`.
   virtual void send(RequestId id, int attempt, EndpointId endpoint, TimePoint until,
                     std::shared_ptr<const ForwardedRequest> request) = 0;
-  /// Answers Dispatcher::onConnected. `eligible` false: the attempt must not be sent any more.
+  /// Answers Dispatcher::onConnected. If `eligible` is false the attempt must no longer be sent.
   virtual void resumeAttempt(RequestId id, int attempt, bool eligible) = 0;
   virtual void cancel(RequestId id, int attempt) = 0;
   virtual void checkHealth(EndpointId id) = 0;
-  /// Nothing is in flight at the endpoint, and nothing will be sent to it.
+  /// Called only when nothing is in flight at the endpoint and nothing will be sent to it any more.
   virtual void removeEndpoint(EndpointId id) = 0;
 };
 
--- a/src/dispatch/endpoint_watcher.hpp
+++ b/src/dispatch/endpoint_watcher.hpp
@@ -1,4 +1,4 @@
-// The interface of discovery towards the dispatcher.
+// The interface through which the dispatcher uses discovery.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,9 @@
 class EndpointWatcher {
  public:
   virtual ~EndpointWatcher() = default;
-  /// Starts a watch for changes after a generation of the list. It brings any number of
-  /// Dispatcher::onEndpointList, and ends with one Dispatcher::onListFailure if it fails.
+  /// Starts a watch for changes after the given generation of the list. The watch calls
+  /// Dispatcher::onEndpointList any number of times; if it fails, it ends with one call of
+  /// Dispatcher::onListFailure.
   virtual void watch(std::uint64_t afterGeneration) = 0;
 };
 
--- a/src/dispatch/events.hpp
+++ b/src/dispatch/events.hpp
@@ -1,4 +1,4 @@
-// What the network reports to the dispatcher; gathered until the next batch.
+// The events that the network reports to the dispatcher. They are recorded until the next batch.
 #pragma once
 
 #include <variant>
@@ -15,12 +15,12 @@
   Request request;
 };
 
-/// The client has gone before its final response.
+/// The client has left before its final response.
 struct ClientLeft {
   RequestId id;
 };
 
-/// An attempt that had to wait for a connection has got it.
+/// A connection is ready for an attempt that had to wait for one.
 struct AttemptConnected {
   RequestId id;
   int attempt;
--- a/src/dispatch/forwarded_request.hpp
+++ b/src/dispatch/forwarded_request.hpp
@@ -7,12 +7,12 @@
 
 namespace stonebay {
 
-/// The statement in two parts: the remaining time in milliseconds, which differs for each attempt, goes
-/// between them.
+/// The statement in two parts. The remaining time in milliseconds, which differs for each attempt, is
+/// inserted between them.
 struct ForwardedRequest {
   Buffer beforeRemainingTime;
   Buffer afterRemainingTime;
-  std::string id;  ///< as the client gave it, for the log
+  std::string id;  ///< the client's id for the request; used in the log
 };
 
 }  // namespace stonebay
--- a/src/dispatch/gossip_channel.hpp
+++ b/src/dispatch/gossip_channel.hpp
@@ -1,4 +1,4 @@
-// The interface of the gossip transport towards the dispatcher.
+// The interface through which the dispatcher uses the gossip transport.
 #pragma once
 
 #include <vector>
@@ -7,7 +7,7 @@
 
 namespace stonebay {
 
-/// Reaches the other proxies of the tier; their messages arrive through Dispatcher::onGossip.
+/// Sends messages to the other proxies. Their messages arrive through Dispatcher::onGossip.
 class GossipChannel {
  public:
   virtual ~GossipChannel() = default;
--- a/src/dispatch/in_flight_request.hpp
+++ b/src/dispatch/in_flight_request.hpp
@@ -11,20 +11,20 @@
 
 namespace stonebay {
 
-/// One attempt, for the request's log line.
+/// One attempt of a request, as it appears in the request's log line.
 struct AttemptRecord {
   EndpointId endpoint = 0;
   TimePoint sentAt{};  ///< when the send was decided
   TimePoint endedAt{};
-  std::optional<AttemptStatus> status{};  ///< nothing: the attempt has not ended
+  std::optional<AttemptStatus> status{};  ///< std::nullopt until the attempt has ended
 };
 
 struct InFlightRequest {
-  ResponseHandler* handler = nullptr;  ///< none: the client has left
+  ResponseHandler* handler = nullptr;  ///< null once the client has left
   std::shared_ptr<const ForwardedRequest> message;
   Request request;
   TimePoint arrivedAt{};
-  std::vector<AttemptRecord> attempts{};  ///< by the number of the attempt
+  std::vector<AttemptRecord> attempts{};  ///< indexed by attempt number
 };
 
 }  // namespace stonebay
--- a/src/dispatch/loop_monitor.hpp
+++ b/src/dispatch/loop_monitor.hpp
@@ -1,4 +1,4 @@
-// Measures the passes of the event loop: how long each one took, and what it handled.
+// Measures the passes of the event loop: how long each one takes and what it handles.
 #pragma once
 
 #include <array>
@@ -13,55 +13,57 @@
 
 namespace stonebay {
 
-/// What the passes of some span of time add up to.
+/// Totals and maxima over the passes of an interval.
 struct LoopStatistics {
   std::uint64_t passes = 0;
-  std::uint64_t stalls = 0;  ///< passes of kStallThreshold or more
+  std::uint64_t stalls = 0;  ///< passes that took at least kStallThreshold
   Duration longestPass{};
   std::size_t longestEventQueue = 0;
   std::uint64_t listEntries = 0;
 };
 
 /// A pass begins with the first callback that reads the clock and ends when its actions have been carried
-/// out. One that takes long holds up all clients and endpoints: it is logged ("loop_stalled") with its parts.
+/// out. A long pass delays all clients and endpoints: if it takes at least kStallThreshold, it is logged as
+/// "loop_stalled" with the duration of each phase and what the pass handled.
 class LoopMonitor {
  public:
-  /// A callback of the event loop runs. Only the first call of a pass counts.
+  /// Called when a callback of the event loop runs. The first call in a pass starts the pass.
   void onCallback(TimePoint now) {
-    if (!startedAt_) startedAt_ = now;
+    if (!passStartedAt_) passStartedAt_ = now;
   }
-  /// The events that the callbacks recorded are about to be handled.
-  void onEvents(TimePoint now, std::size_t count);
+  /// Called before the `count` events that the callbacks recorded are handled.
+  void onEventsStart(TimePoint now, std::size_t count);
   void onEvent(const DispatchEvent& event);
   void onTimer() { ++pass_.timers; }
-  /// The events have been handled, and so many actions are about to be carried out.
-  void onActions(TimePoint now, std::size_t count);
+  /// Called after the events have been handled and before `count` actions are carried out.
+  void onActionsStart(TimePoint now, std::size_t count);
   void onPassEnd(TimePoint now);
 
-  /// The earliest instant at which input that is read in this pass can have arrived: if the pass follows a
-  /// long one without a rest, the input may have waited for as long as that one took.
+  /// Returns the earliest time at which input read in this pass can have arrived. This is `now` unless the
+  /// previous pass stalled and the loop was not idle since: then the input may have been waiting since the
+  /// start of the previous pass.
   TimePoint earliestArrival(TimePoint now) const;
 
-  /// Since the last call.
+  /// Returns the statistics since the last call.
   LoopStatistics takeStatistics();
 
  private:
-  static constexpr std::size_t kEventKinds = std::variant_size_v<DispatchEvent>;
+  static constexpr std::size_t kEventKindCount = std::variant_size_v<DispatchEvent>;
 
   struct Pass {
-    std::array<std::size_t, kEventKinds> events{};  // by kind
+    std::array<std::size_t, kEventKindCount> events{};  // indexed by kind
     std::size_t listEntries = 0;
     std::size_t timers = 0;
     std::size_t actions = 0;
-    TimePoint eventsAt{};
-    TimePoint actionsAt{};
+    TimePoint eventsStartedAt{};
+    TimePoint actionsStartedAt{};
   };
   void logStall(TimePoint startedAt, TimePoint endedAt) const;
   std::string eventsText() const;
 
-  std::optional<TimePoint> startedAt_;
-  TimePoint lastStartedAt_{};
-  TimePoint lastEndedAt_{};
+  std::optional<TimePoint> passStartedAt_;
+  TimePoint lastPassStartedAt_{};
+  TimePoint lastPassEndedAt_{};
   Pass pass_;
   LoopStatistics statistics_;
 };
--- a/src/dispatch/position.cpp
+++ b/src/dispatch/position.cpp
@@ -7,18 +7,18 @@
 namespace stonebay {
 namespace {
 
-// How far the epoch is set before the present. Positions older than this count as unknown.
-constexpr Duration kEpochLead = std::chrono::minutes(1);
-// How far the epoch may fall behind the present: at two hours an f32 of seconds still resolves half a
-// millisecond, and 4 x milliseconds overflow a u32 only after twelve days.
+// Age of the epoch when it is set. Positions that are older than the epoch count as unknown.
+constexpr Duration kInitialEpochAge = std::chrono::minutes(1);
+// Age at which the epoch is advanced. At two hours a 32-bit float of seconds still resolves half a
+// millisecond; 4 x milliseconds would overflow a u32 only after twelve days.
 constexpr Duration kMaxEpochAge = std::chrono::hours(2);
-// Milliseconds after the epoch, from which a u32 could not hold four times as much.
+// Milliseconds after the epoch must be below this, so that 4 x milliseconds fit in a u32.
 constexpr std::int64_t kMillisecondsLimit = std::int64_t{1} << 30;
 
 constexpr double kMicrosecondsPerSecond = 1e6;
 constexpr std::int64_t kMicrosecondsPerMillisecond = 1000;
 
-// Positions are whole milliseconds of Unix time. With any other epoch, rounding could make data look newer.
+// Positions are whole milliseconds of Unix time. If the epoch were not, rounding could make data look newer.
 TimePoint toWholeMilliseconds(TimePoint time) {
   return std::chrono::time_point_cast<std::chrono::milliseconds>(time);
 }
@@ -28,7 +28,7 @@
 float secondsSince(TimePoint epoch, double unixSeconds) {
   const double seconds =
       unixSeconds - static_cast<double>(epoch.time_since_epoch().count()) / kMicrosecondsPerSecond;
-  const bool isAfterEpoch = seconds > 0;  // false for a NaN
+  const bool isAfterEpoch = seconds > 0;  // false for NaN
   if (!isAfterEpoch) return 0;
   const auto nearest = static_cast<float>(seconds);
   return static_cast<double>(nearest) > seconds ? std::nextafterf(nearest, 0.0F) : nearest;
@@ -40,11 +40,11 @@
 }
 
 PositionEpoch::PositionEpoch(TimePoint now)
-    : value_(toWholeMilliseconds(std::max(now - kEpochLead, TimePoint()))) {}
+    : value_(toWholeMilliseconds(std::max(now - kInitialEpochAge, TimePoint()))) {}
 
 bool PositionEpoch::advance(TimePoint now) {
   if (now - value_ < kMaxEpochAge) return false;
-  value_ = toWholeMilliseconds(now - kEpochLead);
+  value_ = toWholeMilliseconds(now - kInitialEpochAge);
   return true;
 }
 
--- a/src/dispatch/position.hpp
+++ b/src/dispatch/position.hpp
@@ -1,4 +1,5 @@
-// Replication positions: from Unix time on the sockets to the LoadBalancer's time after an epoch, and back.
+// Converts replication positions between Unix time, as sent on the sockets, and time relative to an epoch, as
+// used by the LoadBalancer.
 #pragma once
 
 #include <cstdint>
@@ -8,25 +9,27 @@
 
 namespace stonebay {
 
-/// A Unix time in seconds as seconds after the epoch, 0 if it is not after it. Rounded down: data must not
-/// look newer than it is.
+/// Converts a Unix time in seconds to seconds after the epoch. Returns 0 if the time is not after the epoch.
+/// Rounds down, because data must not look newer than it is.
 float secondsSince(TimePoint epoch, double unixSeconds);
 
-/// A Unix time in milliseconds as milliseconds after the epoch; 0 if it is not after it, or 2^30 or more.
+/// Converts a Unix time in milliseconds to milliseconds after the epoch. Returns 0 if the result would not be
+/// positive, or would be 2^30 or more.
 std::uint32_t millisecondsSince(TimePoint epoch, std::int64_t unixMs);
 
-/// The instant from which positions are measured, a whole millisecond.
+/// The time from which positions are measured. It is a whole number of milliseconds.
 ///
-/// It stands shortly before the present and has to follow it, because an f32 of seconds loses precision as it
-/// grows.
+/// Seconds after the epoch are kept in a 32-bit float, which loses precision as it grows. The epoch is
+/// therefore set shortly before the present and has to be advanced regularly.
 class PositionEpoch {
  public:
   explicit PositionEpoch(TimePoint now);
 
   TimePoint value() const { return value_; }
-  /// Moves the epoch when it has fallen too far behind; returns whether it moved.
+  /// Moves the epoch forward if it is too far in the past. Returns whether it has moved.
   bool advance(TimePoint now);
-  /// The position as an instant; nothing if it was not reported or precedes the epoch.
+  /// Converts a position in Unix milliseconds. Returns std::nullopt if it is 0 (not reported), not after the
+  /// epoch, or 2^30 ms or more after it.
   std::optional<TimePoint> position(std::int64_t unixMs) const;
 
  private:
--- a/src/dispatch/request_log.cpp
+++ b/src/dispatch/request_log.cpp
@@ -34,14 +34,15 @@
   return "unknown";
 }
 
-// Milliseconds with one decimal, rounded towards zero.
+// Formats a time in milliseconds with one decimal, rounded towards zero.
 std::string millisecondsText(Duration time) {
   constexpr std::int64_t kMicrosecondsPerTenth = 100;
-  constexpr std::int64_t kTenths = 10;
+  constexpr std::int64_t kTenthsPerMillisecond = 10;
   const std::int64_t tenths = time.count() / kMicrosecondsPerTenth;
-  const std::int64_t magnitude = std::abs(tenths);
+  const std::int64_t absoluteTenths = std::abs(tenths);
   const std::string sign = tenths < 0 ? "-" : "";
-  return sign + std::to_string(magnitude / kTenths) + "." + std::to_string(magnitude % kTenths);
+  return sign + std::to_string(absoluteTenths / kTenthsPerMillisecond) + "." +
+         std::to_string(absoluteTenths % kTenthsPerMillisecond);
 }
 
 }  // namespace
@@ -96,7 +97,8 @@
 
 void logRequestEnd(const InFlightRequest& request, RequestEnd end, const char* reason, TimePoint now,
                    const Config& config, const EndpointIds& endpoints) {
-  // Clients that leave are many on some days: their lines have a budget of their own.
+  // The log limits the rate of each event separately. On some days many clients leave; a separate event keeps
+  // their lines from displacing those of other requests.
   const char* const event = end == RequestEnd::ClientLeft ? "client_left" : "request_ended";
   logEvent(LogLevel::Info, event,
            {{"id", request.message->id},
--- a/src/dispatch/request_log.hpp
+++ b/src/dispatch/request_log.hpp
@@ -1,4 +1,4 @@
-// The log line of a request that ended badly.
+// Logs requests that ended late, without a successful response, or because the client left.
 #pragma once
 
 #include <string>
@@ -10,20 +10,22 @@
 
 namespace stonebay {
 
-/// Ends that a client may complain of, and its own leaving.
+/// The ends of requests that are logged: those that a client may complain about, and the client leaving.
 enum class RequestEnd { LatencyObjectiveMissed, Rejected, Failed, ClientLeft };
 
-/// As the log names it.
+/// Returns the name that is written to the log.
 const char* requestEndName(RequestEnd end);
-/// As the log names it.
+/// Returns the name that is written to the log.
 const char* endReasonName(EndReason reason);
 
-/// The attempts of a request in the order of their sends, each as "endpoint@sent:end@ended" with the times in
-/// milliseconds after the request arrived, or as "endpoint@sent:in_flight".
+/// Formats the attempts of a request in the order in which they were sent, separated by blanks. An attempt is
+/// written as "endpoint@sent:status@ended", or as "endpoint@sent:in_flight" if it has not ended; times are in
+/// milliseconds after the arrival of the request.
 std::string attemptsText(const InFlightRequest& request, const EndpointIds& endpoints);
 
-/// Logs "request_ended" ("client_left" for RequestEnd::ClientLeft) with the id that the client and the
-/// endpoints know, the times, and the attempts. `reason`: see endReasonName, or the error's own code.
+/// Logs "request_ended", or "client_left" for RequestEnd::ClientLeft, with the client's id for the request,
+/// the times and the attempts. `reason` is a result of endReasonName() or a code of the dispatcher, such as
+/// "invalid_statement".
 void logRequestEnd(const InFlightRequest& request, RequestEnd end, const char* reason, TimePoint now,
                    const Config& config, const EndpointIds& endpoints);
 
--- a/src/dispatch/response_handler.hpp
+++ b/src/dispatch/response_handler.hpp
@@ -1,4 +1,4 @@
-// The interface of a client session towards the dispatcher.
+// The interface through which the dispatcher answers a client session.
 #pragma once
 
 #include "stonebay/load_balancer.hpp"
@@ -8,17 +8,18 @@
 
 /// Receives the final response of a request.
 ///
-/// Exactly one of these is called for each request, unless the handler has called Dispatcher::onClientLeft
-/// before.
+/// Exactly one of onResponse(), onRejected() and onFailed() is called for each request, unless
+/// Dispatcher::onClientLeft has been called for it before.
 class ResponseHandler {
  public:
   virtual ~ResponseHandler() = default;
   virtual void onResponse(Buffer response) = 0;
-  /// The request did not run and may be repeated. `retryAfter` 0: no advice on when.
+  /// The request may be repeated without harm. A `retryAfter` of 0 gives no advice on when.
   virtual void onRejected(Duration retryAfter) = 0;
   /// The request may have run.
   virtual void onFailed() = 0;
-  /// Whether the client has closed its connection, even if that is still to be read by this process.
+  /// Returns whether the client has closed its connection, even if this process has not yet read the end of
+  /// the input.
   virtual bool clientHasLeft() const = 0;
 };
 
--- a/src/dispatch/timer_queue.cpp
+++ b/src/dispatch/timer_queue.cpp
@@ -3,8 +3,8 @@
 namespace stonebay {
 
 void TimerQueue::schedule(TimePoint due, TimerToken token) {
-  ++scheduled_;
-  timers_.push(Timer{due, scheduled_, token});
+  ++lastSequenceNumber_;
+  timers_.push(Timer{due, lastSequenceNumber_, token});
 }
 
 std::optional<TimerToken> TimerQueue::popDue(TimePoint now) {
--- a/src/dispatch/translation.cpp
+++ b/src/dispatch/translation.cpp
@@ -25,7 +25,7 @@
   outcome.request = event.id;
   outcome.attempt = event.attempt;
   outcome.endpoint = event.endpoint;
-  // An invalid statement is the client's fault: it is not retried, nor held against the endpoint.
+  // An invalid statement is the client's error: it is not retried, and does not count as an endpoint failure.
   outcome.status = result.invalidStatement ? AttemptStatus::Cancelled : result.status;
   outcome.requestFinished = requestFinished || result.invalidStatement || outcome.status == AttemptStatus::Ok;
   outcome.role = result.role;
--- a/src/dispatch/translation.hpp
+++ b/src/dispatch/translation.hpp
@@ -1,4 +1,4 @@
-// Translates between what the network reports and the types of the LoadBalancer.
+// Converts between the network's representation of events and the types of the LoadBalancer.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,19 @@
 
 namespace stonebay {
 
-/// A load report in the order of `fields`, with its positions in seconds after the epoch. Values beyond the
-/// fields are dropped.
+/// Converts a load report, whose values are in the order of `fields`: positions become seconds after the
+/// epoch. Values beyond the last field are dropped.
 std::vector<float> toLoadReport(const std::vector<double>& report, const std::vector<ReportField>& fields,
                                 const PositionEpoch& epoch);
 
-/// `requestFinished`: whether the client had its final response before this attempt ended.
+/// `requestFinished` is true if the request was no longer in flight when the attempt ended.
 AttemptOutcome toAttemptOutcome(const AttemptEnded& event, bool requestFinished,
                                 const std::vector<ReportField>& fields, const PositionEpoch& epoch);
 
 HealthCheckResult toHealthCheckResult(const HealthCheckEnded& event, const std::vector<ReportField>& fields,
                                       const PositionEpoch& epoch);
 
-/// The zone becomes its index in `zones`, or their number if it is not among them.
+/// Converts the zone's name to its index in `zones`, or to zones.size() if it is not listed there.
 EndpointUpdate toEndpointUpdate(const Instance& instance, EndpointId id,
                                 const std::vector<std::string>& zones);
 
--- a/src/dispatch/wall_clock_correction.hpp
+++ b/src/dispatch/wall_clock_correction.hpp
@@ -1,4 +1,4 @@
-// How far the wall clock was wrong when the process read it.
+// Estimates the error of the wall clock at the time when the process read it.
 #pragma once
 
 #include <optional>
@@ -7,36 +7,38 @@
 
 namespace stonebay {
 
-/// Compares this machine's time with what endpoints say of theirs. All other machines read the same clock;
-/// the process reads its own once, at its start (Clock), and it may have been wrong by seconds or by an hour
-/// then.
+/// Compares this process's time with the positions that endpoints report. All other machines share one clock.
+/// This process reads its machine's wall clock only once, at startup (see Clock), and that reading may have
+/// been wrong by seconds or by an hour.
 ///
-/// No endpoint has applied commits of the future: a position ahead of this clock shows at once that it is
-/// behind. A primary stands at the present: if for seconds all of them are far behind, this clock is ahead.
+/// No endpoint can have applied commits of the future, so a single position ahead of this process's time
+/// shows that this process is behind. The position of a primary is close to the present, so if the positions
+/// of all primaries are far behind for several seconds, this process is ahead.
 class WallClockCorrection {
  public:
-  /// Positions further off than this are errors of their endpoints.
+  /// Positions that differ from this process's time by more than this are errors of their endpoints and are
+  /// ignored.
   static constexpr Duration kMaxError = std::chrono::hours(2);
 
-  /// Unix time minus this process's time.
+  /// Returns the correction: Unix time minus this process's time.
   Duration value() const { return value_; }
-  /// An endpoint has applied all commits up to `position`, by Unix time. Returns by how much the value has
-  /// changed.
+  /// Updates the correction from a position in Unix time, up to which an endpoint has applied all commits.
+  /// Returns the change of value(), which is 0 if it has not changed.
   Duration observe(TimePoint position, bool isPrimary, TimePoint now);
 
  private:
-  // Positions of primaries, all of which have been far behind.
-  struct BehindPrimaries {
-    TimePoint since;
+  // Consecutive positions of primaries, all of them far behind.
+  struct BehindPositions {
+    TimePoint firstObservedAt;
     int count = 0;
-    Duration latestError{};  // the greatest
+    Duration greatestError{};  // error of the position that is least behind
   };
 
-  Duration observePrimary(Duration error, TimePoint now);
-  Duration changeTo(Duration value);
+  Duration observePrimaryPosition(Duration error, TimePoint now);
+  Duration setValue(Duration value);
 
   Duration value_{};
-  std::optional<BehindPrimaries> behind_;
+  std::optional<BehindPositions> behindPositions_;
 };
 
 }  // namespace stonebay
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -22,12 +22,12 @@
   return reply_.finish();
 }
 
-// Passes over the records of a later version.
+// Ignores records with unknown codes, which later versions of the protocol may add.
 void Adapter::handleEvent(EventCode code, FrameReader& record) {
   switch (code) {
     case EventCode::AttemptOutcome:
       return onAttemptOutcome(record);
-    case EventCode::ResponseStarted:  // nothing to do: no class that is served here streams its responses
+    case EventCode::ResponseStarted:  // no action needed: no class served here streams its responses
       return record.skip<std::uint16_t>("instance");
     case EventCode::InstanceStarted:
       return onInstanceStarted(record);
@@ -120,7 +120,7 @@
   instance->deliver([&](LoadBalancer& balancer) { balancer.onGossip(now_, *message); });
 }
 
-// Reads the number of an instance; returns nothing if there is none.
+// Reads an instance number. Returns nullptr if there is no such instance.
 ProxyInstance* Adapter::readInstance(FrameReader& record) const {
   const auto it = instances_.find(record.read<std::uint16_t>("instance"));
   return it == instances_.end() ? nullptr : it->second.get();
@@ -128,10 +128,10 @@
 
 const std::vector<EndpointUpdate>& Adapter::endpointEntries(const FrameReader& record, EndpointListKind kind,
                                                             std::uint32_t definition) const {
-  static const std::vector<EndpointUpdate> none;
-  if (kind == EndpointListKind::Failed) return none;
+  static const std::vector<EndpointUpdate> noEntries;
+  if (kind == EndpointListKind::Failed) return noEntries;
   const auto it = endpointLists_.find(definition);
-  if (it == endpointLists_.end()) throw record.invalid("list number without a list");
+  if (it == endpointLists_.end()) throw record.invalid("list number refers to no defined list");
   return it->second;
 }
 
--- a/src/simulator/adapter.hpp
+++ b/src/simulator/adapter.hpp
@@ -1,5 +1,5 @@
-// Translates the simulator's batches of events into calls of LoadBalancers, and their actions into replies.
-// Decides nothing.
+// Converts the simulator's batches of events to calls of LoadBalancers, and their actions to replies. Makes
+// no decisions of its own.
 #pragma once
 
 #include <cstddef>
@@ -16,17 +16,19 @@
 
 namespace stonebay::simulator {
 
-/// All instances of one process. They share the endpoint lists that the simulator defines, and nothing else.
+/// Owns all proxy instances of one process. They share the endpoint lists that the simulator defines, and
+/// nothing else.
 class Adapter {
  public:
   Adapter() = default;
-  Adapter(const Adapter&) = delete;  // instances refer to the reply
+  Adapter(const Adapter&) = delete;  // the instances hold references to reply_
   Adapter& operator=(const Adapter&) = delete;
 
-  /// Handles the events of a batch in their order and returns the reply, header included.
+  /// Handles the events of a batch in order and returns the reply including its header.
   ///
-  /// The batch comes without its length field; `offset` is that of its first byte in the input, for errors.
-  /// Throws MalformedFrame; what the batch has changed until then stays.
+  /// `batch` does not include the length field. `offset` is the position of its first byte in the input and
+  /// is used in error messages. Throws MalformedFrame; the effects of the events before the malformed one
+  /// remain.
   std::vector<std::uint8_t> handleBatch(const std::uint8_t* batch, std::size_t size, std::uint64_t offset);
 
  private:
@@ -46,8 +48,8 @@
   const std::vector<EndpointUpdate>& endpointEntries(const FrameReader& record, EndpointListKind kind,
                                                      std::uint32_t definition) const;
 
-  TimePoint now_{};    // of this batch
-  FrameWriter reply_;  // to this batch
+  TimePoint now_{};    // time of the current batch
+  FrameWriter reply_;  // reply to the current batch
   std::map<std::uint16_t, std::unique_ptr<ProxyInstance>> instances_;
   std::map<std::uint32_t, std::vector<EndpointUpdate>> endpointLists_;
 };
--- a/src/simulator/event_decoder.cpp
+++ b/src/simulator/event_decoder.cpp
@@ -9,10 +9,10 @@
 namespace stonebay::simulator {
 namespace {
 
-// By the number of the kind on the wire.
+// Indexed by the number of the kind on the wire.
 constexpr EndpointListKind kEndpointListKinds[] = {EndpointListKind::Delta, EndpointListKind::Full,
                                                    EndpointListKind::Cached, EndpointListKind::Failed};
-// One more than the greatest number of a group.
+// One more than the largest group number.
 constexpr float kGroupLimit = 65536;
 
 AttemptStatus attemptStatus(OutcomeCode code) {
@@ -47,7 +47,8 @@
   return Lifecycle::Removed;
 }
 
-// What a response says of its endpoint: 4 x the position in ms after the epoch, 0 for none, + its role.
+// What a response reports about its endpoint. Encoded as 4 x the position in ms after the epoch + the role; a
+// position of 0 means that none was reported.
 struct PositionNote {
   Role role = Role::Unknown;
   std::optional<std::chrono::milliseconds> position;
@@ -85,9 +86,9 @@
   EndpointListDefinition list;
   list.number = record.read<std::uint32_t>("list number");
   const auto count = record.read<std::uint32_t>("list length");
-  // Before room is made for a count that may be anything.
+  // The count is checked before memory is reserved for it, because it may be arbitrarily large.
   if (record.remaining() / kEndpointEntryBytes < count)
-    throw MalformedFrame("list is cut short", record.offset());
+    throw MalformedFrame("list is truncated", record.offset());
   list.entries.reserve(count);
   for (std::uint32_t i = 0; i < count; ++i) list.entries.push_back(decodeEndpoint(record));
   return list;
@@ -111,7 +112,7 @@
   request.sessionTokenAgeMs = record.read<float>("token");
   request.deadline = record.readTime("deadline");
   const auto group = record.read<float>("group");
-  const bool groupIsValid = group >= 0 && group < kGroupLimit;  // false for a NaN
+  const bool groupIsValid = group >= 0 && group < kGroupLimit;  // false for NaN
   if (!groupIsValid) throw record.invalid("group out of range");
   request.group = static_cast<GroupId>(group);
   request.classIndex = record.read<std::uint16_t>("class");
--- a/src/simulator/event_decoder.hpp
+++ b/src/simulator/event_decoder.hpp
@@ -1,7 +1,7 @@
-// Decodes the fields of the simulator's events into the field's terms.
+// Decodes the simulator's events into the types of the LoadBalancer.
 //
-// The functions read a record from behind its instance number, which the adapter has read. They throw
-// MalformedFrame.
+// If a record starts with an instance number, the adapter has already read it: the functions read the fields
+// after it. They throw MalformedFrame.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,27 @@
 
 namespace stonebay::simulator {
 
-/// An endpoint list that later EndpointListEvents refer to by its number.
+/// An endpoint list to which later EndpointListEvents refer by its number.
 struct EndpointListDefinition {
   std::uint32_t number = 0;
   std::vector<EndpointUpdate> entries;
 };
 
-/// Discovery's answer; the entries stand in an EndpointListDefinition.
+/// An answer from discovery to an instance. Unless discovery has failed, the entries are those of an
+/// EndpointListDefinition.
 struct EndpointListEvent {
-  std::optional<EndpointListKind> kind;  ///< nothing for a kind of a later version
-  std::uint32_t definition = 0;          ///< means nothing with EndpointListKind::Failed
+  std::optional<EndpointListKind> kind;  ///< std::nullopt for an unknown kind of a later version
+  std::uint32_t definition = 0;          ///< number of the definition; unused with EndpointListKind::Failed
 };
 
 EndpointListDefinition decodeEndpointListDefinition(FrameReader& record);
 EndpointListEvent decodeEndpointList(FrameReader& record);
 Request decodeRequest(FrameReader& record);
-/// Outcomes of a later version become AttemptStatus::Error, which proves nothing.
+/// Unknown outcomes of a later version become AttemptStatus::Error, which leaves open whether the attempt
+/// ran.
 AttemptOutcome decodeAttemptOutcome(FrameReader& record, TimePoint positionEpoch);
 HealthCheckResult decodeHealthCheckResult(FrameReader& record);
-/// Nothing for a message of a later version, whose size differs.
+/// Returns std::nullopt for a message of a later version, which has a different size.
 std::optional<GossipMessage> decodeGossip(FrameReader& record, TimePoint positionEpoch);
 
 }  // namespace stonebay::simulator
--- a/src/simulator/frame_reader.cpp
+++ b/src/simulator/frame_reader.cpp
@@ -6,7 +6,7 @@
     : std::runtime_error(problem + " at byte " + std::to_string(offset)), offset_(offset) {}
 
 FrameReader::FrameReader(const std::uint8_t* data, std::size_t size, std::uint64_t offset)
-    : data_(data), size_(size), start_(offset) {}
+    : data_(data), size_(size), startOffset_(offset) {}
 
 TimePoint FrameReader::readTime(const char* field) {
   return TimePoint(Duration(static_cast<std::int64_t>(read<std::uint64_t>(field))));
@@ -37,7 +37,7 @@
 }
 
 const std::uint8_t* FrameReader::take(std::size_t size, const char* field) {
-  if (remaining() < size) throw MalformedFrame(std::string(field) + " is cut short", offset());
+  if (remaining() < size) throw MalformedFrame(std::string(field) + " is truncated", offset());
   const std::uint8_t* const bytes = data_ + position_;
   position_ += size;
   return bytes;
--- a/src/simulator/frame_reader.hpp
+++ b/src/simulator/frame_reader.hpp
@@ -14,10 +14,10 @@
 
 namespace stonebay::simulator {
 
-/// A frame, a record or a field that cannot be read.
+/// Thrown if a frame, a record or a field is truncated or invalid.
 class MalformedFrame : public std::runtime_error {
  public:
-  /// `offset`: in bytes, from the start of the input.
+  /// `offset` is in bytes from the start of the input.
   MalformedFrame(const std::string& problem, std::uint64_t offset);
   std::uint64_t offset() const { return offset_; }
 
@@ -25,45 +25,47 @@
   std::uint64_t offset_;
 };
 
-/// Reads fields one after the other from bytes that it does not own.
+/// Reads consecutive fields from bytes that it does not own.
 ///
-/// Every read takes the name of its field, for the MalformedFrame that it throws when too few bytes are left.
+/// Every function that reads takes the name of the field and throws a MalformedFrame with that name if too
+/// few bytes are left.
 class FrameReader {
  public:
-  /// `offset`: of the first byte, from the start of the input.
+  /// `offset` is the position of the first byte, in bytes from the start of the input.
   FrameReader(const std::uint8_t* data, std::size_t size, std::uint64_t offset);
 
   std::size_t remaining() const { return size_ - position_; }
-  /// Of the next byte, from the start of the input.
-  std::uint64_t offset() const { return start_ + position_; }
+  /// Returns the position of the next byte, in bytes from the start of the input.
+  std::uint64_t offset() const { return startOffset_ + position_; }
 
   /// Reads a little-endian number.
   template <typename T>
   T read(const char* field) {
     static_assert(std::is_arithmetic_v<T>);
-    static_assert(__BYTE_ORDER__ == __ORDER_LITTLE_ENDIAN__, "numbers are copied in the host's byte order");
+    static_assert(__BYTE_ORDER__ == __ORDER_LITTLE_ENDIAN__,
+                  "the little-endian numbers of a frame are copied without conversion");
     T value;
     std::memcpy(&value, take(sizeof(T), field), sizeof(T));
     return value;
   }
-  /// Reads an instant: a u64 of microseconds on the simulator's clock.
+  /// Reads a time: a u64 of microseconds on the simulator's clock.
   TimePoint readTime(const char* field);
-  /// Reads an endpoint's address and port: 4 bytes, the first one first, and a u16.
+  /// Reads an endpoint's address, 4 bytes in network order, and its port, a u16.
   EndpointId readEndpointId();
   /// Reads a u8 count and as many f32 values.
   std::vector<float> readLoadReport();
-  /// Reads `size` bytes of text, valid as long as the bytes that are read from.
+  /// Reads `size` bytes of text. The result refers to the bytes that this reader was created with.
   std::string_view readText(std::size_t size, const char* field);
-  /// Hands out the next `size` bytes to a reader of their own.
+  /// Returns a reader for the next `size` bytes and skips them in this one.
   FrameReader readRange(std::size_t size, const char* field);
-  /// Passes over a field of type T.
+  /// Skips a field of type T.
   template <typename T>
   void skip(const char* field) {
     take(sizeof(T), field);
   }
 
-  /// The error for a value that could be read but has no meaning; it names the first byte of this range.
-  MalformedFrame invalid(const std::string& problem) const { return {problem, start_}; }
+  /// Returns the error for a complete but invalid value. Its offset is that of this reader's first byte.
+  MalformedFrame invalid(const std::string& problem) const { return {problem, startOffset_}; }
 
  private:
   const std::uint8_t* take(std::size_t size, const char* field);
@@ -71,7 +73,7 @@
   const std::uint8_t* data_;
   std::size_t size_;
   std::size_t position_ = 0;
-  std::uint64_t start_;
+  std::uint64_t startOffset_;
 };
 
 }  // namespace stonebay::simulator
--- a/src/simulator/frame_writer.cpp
+++ b/src/simulator/frame_writer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kCountBytes = sizeof(std::uint32_t);
-constexpr std::size_t kHeaderBytes = 2 * kCountBytes;  // number of records, number of bytes
+constexpr std::size_t kHeaderBytes = 2 * kCountBytes;  // number of records, size of the records in bytes
 
 }  // namespace
 
@@ -17,7 +17,7 @@
 void FrameWriter::beginRecord(ActionCode code, std::uint16_t instance) {
   endRecord();
   put(static_cast<std::uint8_t>(code));
-  openLengthAt_ = bytes_.size();
+  openRecordLengthPosition_ = bytes_.size();
   put(std::uint32_t{0});
   put(instance);
   ++recordCount_;
@@ -30,9 +30,9 @@
 }
 
 void FrameWriter::putText(std::string_view text) {
-  const std::string_view kept = text.substr(0, kMaxTextBytes);
-  put(static_cast<std::uint16_t>(kept.size()));
-  bytes_.insert(bytes_.end(), kept.begin(), kept.end());
+  const std::string_view truncated = text.substr(0, kMaxTextBytes);
+  put(static_cast<std::uint16_t>(truncated.size()));
+  bytes_.insert(bytes_.end(), truncated.begin(), truncated.end());
 }
 
 std::vector<std::uint8_t> FrameWriter::finish() {
@@ -43,9 +43,10 @@
 }
 
 void FrameWriter::endRecord() {
-  if (openLengthAt_ == 0) return;
-  overwrite(openLengthAt_, static_cast<std::uint32_t>(bytes_.size() - openLengthAt_ - kCountBytes));
-  openLengthAt_ = 0;
+  if (openRecordLengthPosition_ == 0) return;
+  overwrite(openRecordLengthPosition_,
+            static_cast<std::uint32_t>(bytes_.size() - openRecordLengthPosition_ - kCountBytes));
+  openRecordLengthPosition_ = 0;
 }
 
 void FrameWriter::overwrite(std::size_t position, std::uint32_t value) {
--- a/src/simulator/host.cpp
+++ b/src/simulator/host.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::uint32_t kMaxBatchBytes = 1U << 30;
 
-// Reads `size` bytes; returns how many came before the input ended.
+// Reads `size` bytes. Returns the number of bytes read, which is smaller if the input ends or fails.
 std::size_t readFully(int fd, std::uint8_t* bytes, std::size_t size) {
   std::size_t received = 0;
   while (received < size) {
@@ -55,7 +55,7 @@
     throw MalformedFrame("input ends inside a frame's length", start + lengthReceived);
   std::memcpy(&size, length, sizeof size);
   if (size < kClockBytes || size > kMaxBatchBytes)
-    throw MalformedFrame("frame length " + std::to_string(size), start);
+    throw MalformedFrame("invalid frame length " + std::to_string(size), start);
 
   offset_ = start + sizeof length;
   batch_.resize(size);
--- a/src/simulator/host.hpp
+++ b/src/simulator/host.hpp
@@ -1,4 +1,4 @@
-// The program's loop: batches from one descriptor, replies to another.
+// The main loop of the program: reads batches from one descriptor and writes the replies to another.
 #pragma once
 
 #include <cstddef>
@@ -8,22 +8,22 @@
 
 namespace stonebay::simulator {
 
-/// A reply could not be written: whoever reads the output has gone.
+/// Thrown if a reply cannot be written, for example because the reader of the output has exited.
 class ReplyNotWritten : public std::runtime_error {
  public:
-  ReplyNotWritten() : std::runtime_error("the reply could not be written") {}
+  ReplyNotWritten() : std::runtime_error("failed to write the reply") {}
 };
 
-/// Reads batches, each behind a u32 of its length, from a descriptor that it does not own.
+/// Reads batches from a descriptor that it does not own. Each batch is preceded by its length, a u32.
 class BatchReader {
  public:
   explicit BatchReader(int fd) : fd_(fd) {}
 
-  /// Reads the next batch; false when the input has ended between two. Throws MalformedFrame.
+  /// Reads the next batch. Returns false if the input has ended between two batches. Throws MalformedFrame.
   bool next();
-  /// The batch that next() has read, without its length.
+  /// Returns the batch that next() has read, without its length.
   const std::vector<std::uint8_t>& batch() const { return batch_; }
-  /// Of the batch's first byte, from the start of the input.
+  /// Returns the position of the batch's first byte, in bytes from the start of the input.
   std::uint64_t offset() const { return offset_; }
 
  private:
@@ -32,8 +32,8 @@
   std::uint64_t offset_ = 0;
 };
 
-/// Answers batches until the input ends. Returns the exit status: 0 when it ended between two batches, 1
-/// after a MalformedFrame or ReplyNotWritten, which goes to standard error in one line.
+/// Answers batches until the input ends. Returns the exit status: 0 if the input has ended between two
+/// batches, 1 after a MalformedFrame or ReplyNotWritten, which is reported in one line on standard error.
 int run(int in, int out);
 
 }  // namespace stonebay::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,5 @@
-// The program that the simulator starts: batches on standard input, replies on standard output.
+// The program that the simulator starts. It reads batches from standard input and writes replies to standard
+// output.
 #include <unistd.h>
 
 #include "simulator/host.hpp"
--- a/src/simulator/proxy_instance.cpp
+++ b/src/simulator/proxy_instance.cpp
@@ -9,7 +9,7 @@
 namespace stonebay::simulator {
 namespace {
 
-constexpr int kMaxGossipInFlight = 255;  // stands for all greater counts
+constexpr int kMaxGossipInFlight = 255;  // larger counts do not fit in a u8 and are sent as this
 constexpr std::uint8_t kSubscribe = 1;
 
 }  // namespace
@@ -77,7 +77,7 @@
   reply_.putText(line);
 }
 
-// Actions about a request name it right after the instance.
+// In the records of actions on a request, the request's id follows the instance number.
 void ProxyInstance::beginRequestAction(ActionCode code, RequestId id) {
   reply_.beginRecord(code, number_);
   reply_.put(static_cast<std::uint32_t>(id));
--- a/src/simulator/proxy_instance.hpp
+++ b/src/simulator/proxy_instance.hpp
@@ -1,4 +1,4 @@
-// One proxy of the simulated tier.
+// One proxy instance in the simulator.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,19 @@
 
 namespace stonebay::simulator {
 
-/// Owns the LoadBalancer of one instance and writes its actions into the reply.
+/// Owns the LoadBalancer of one instance and writes its actions to the reply.
 ///
-/// An exception in the decisions ends this instance and no other: it is reported in the reply, and later
-/// events are ignored.
+/// An exception from the LoadBalancer stops this instance, but no other one. It is reported in the reply, and
+/// later events for the instance are ignored.
 class ProxyInstance final : public ActionSink {
  public:
-  /// `reply` must outlive the instance. A failure to start is reported in the reply.
+  /// `reply` must outlive the instance. A failure to create the LoadBalancer is reported in the reply.
   ProxyInstance(std::uint16_t number, const std::string& settings, std::uint64_t seed, FrameWriter& reply);
 
-  /// The instant from which positions on the wire are measured.
+  /// Returns the time from which positions on the wire are measured.
   TimePoint positionEpoch() const { return positionEpoch_; }
 
-  /// Calls `event` with the LoadBalancer, unless the instance has failed.
+  /// Calls `event` with the LoadBalancer. Does nothing if the instance has failed.
   template <typename Event>
   void deliver(Event&& event) {
     if (!balancer_) return;
@@ -52,7 +52,7 @@
   const std::uint16_t number_;
   FrameWriter& reply_;
   TimePoint positionEpoch_{};
-  std::unique_ptr<LoadBalancer> balancer_;  // none: the instance has failed
+  std::unique_ptr<LoadBalancer> balancer_;  // null if the instance has failed
 };
 
 }  // namespace stonebay::simulator
--- a/src/simulator/settings_parser.cpp
+++ b/src/simulator/settings_parser.cpp
@@ -6,8 +6,8 @@
 namespace stonebay::simulator {
 namespace {
 
-constexpr int kMaxClasses = 65535;  // a request names its class by a u16
-constexpr int kMaxAttempts = 255;   // an outcome names its attempt by a u8
+constexpr int kMaxClasses = 65535;  // a request carries the index of its class as a u16
+constexpr int kMaxAttempts = 255;   // an outcome carries the number of its attempt as a u8
 constexpr double kMaxProxies = 1e9;
 
 constexpr SettingChoice<Consistency> kConsistencies[] = {{"any", Consistency::Eventual},
@@ -39,10 +39,10 @@
 void requireOneForEachClass(const SettingsText& text, const std::string& key, std::size_t size,
                             std::size_t classCount) {
   if (size != classCount)
-    throw InvalidSetting("setting " + key + " does not fit classes.count: '" + text.text(key) + "'");
+    throw InvalidSetting("setting " + key + " must have classes.count values: '" + text.text(key) + "'");
 }
 
-// What stands under classes.N; consistency and staleness stand in lists of their own.
+// Reads the settings under classes.N. The consistency and staleness of all classes are separate lists.
 ClassSettings readClass(const SettingsText& text, std::size_t index, Consistency consistency,
                         Duration maxStaleness) {
   const std::string prefix = "classes." + std::to_string(index) + ".";
@@ -82,7 +82,7 @@
   settings.discovery = text.choice("discovery", kDiscoveryModes);
 }
 
-// Names of values that mean nothing here are allowed: sites report what they like.
+// Unknown names are allowed, because a site may report values that the load balancer does not use.
 ReportField reportField(const std::string& name) {
   for (const SettingChoice<ReportField>& known : kReportFields)
     if (known.text == name) return known.value;
@@ -106,7 +106,7 @@
   return text.has(key) && text.flag(key);
 }
 
-void readAllowances(const SettingsText& text, Settings& settings) {
+void readPermissionsAndLimits(const SettingsText& text, Settings& settings) {
   settings.healthChecksAllowed = text.flag("allowed.probing");
   settings.gossipAllowed = optionalFlag(text, "allowed.peers");
   settings.cancellationAllowed = text.flag("allowed.cancel");
@@ -145,7 +145,7 @@
   readModes(values, settings);
   readLoadReports(values, settings);
   readReplication(values, settings);
-  readAllowances(values, settings);
+  readPermissionsAndLimits(values, settings);
   readTimes(values, settings);
   readCapacityAndGoals(values, settings);
   return settings;
--- a/src/simulator/settings_parser.hpp
+++ b/src/simulator/settings_parser.hpp
@@ -1,4 +1,4 @@
-// The settings of the simulator's wire, and of the platform's configuration, in the field's terms.
+// Parses the settings sent by the simulator, and those in the platform's configuration, into Settings.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace stonebay::simulator {
 
-/// Reads settings from lines path=value. Keys that are not known are ignored. Throws InvalidSetting for the
-/// first setting that is missing or unreadable.
+/// Parses lines of the form path=value. Unknown keys are ignored. Throws InvalidSetting for the first setting
+/// that is missing or invalid.
 Settings parseSettings(const std::string& text);
 
 }  // namespace stonebay::simulator
--- a/src/simulator/settings_text.cpp
+++ b/src/simulator/settings_text.cpp
@@ -8,7 +8,7 @@
 namespace stonebay::simulator {
 namespace {
 
-// Doubles hold all integers up to here, and so does Duration.
+// Up to here a double represents every integer exactly, and a Duration does not overflow.
 constexpr double kMaxNumber = 9e15;
 
 }  // namespace
@@ -54,7 +54,7 @@
   const double number = std::strtod(value.c_str(), &end);
   const bool complete = !value.empty() && *end == '\0';
   if (!complete || !std::isfinite(number) || number < 0 || number > kMaxNumber)
-    throw InvalidSetting("setting " + key + " is no usable number: '" + value + "'");
+    throw InvalidSetting("setting " + key + " is not a number from 0 to 9e15: '" + value + "'");
   return number;
 }
 
--- a/src/simulator/settings_text.hpp
+++ b/src/simulator/settings_text.hpp
@@ -1,4 +1,4 @@
-// Settings as text: a line path=value each.
+// Settings in text form, one per line as path=value.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,24 @@
 
 namespace stonebay::simulator {
 
-/// A setting that is missing or unreadable; the message names its key and its value.
+/// Thrown if a setting is missing or invalid. The message contains its key and, if there is one, its value.
 class InvalidSetting : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// What one text of a setting stands for.
+/// One of the texts that a setting accepts, and the value it means.
 template <typename T>
 struct SettingChoice {
   std::string_view text;
   T value;
 };
 
-/// The parts between separators, empty ones included.
+/// Splits `text` at every separator. Empty parts are kept.
 std::vector<std::string> splitText(const std::string& text, char separator);
 
-/// Looks settings up by key and reads their values. Every reader throws InvalidSetting.
+/// Looks up settings by key and parses their values. All functions but the constructor and has() throw
+/// InvalidSetting if the setting is missing or invalid.
 class SettingsText {
  public:
   /// Lines without a "=" are ignored.
@@ -36,23 +37,23 @@
 
   bool has(const std::string& key) const { return values_.count(key) != 0; }
   const std::string& text(const std::string& key) const;
-  /// The values of a list, joined by commas in the text.
+  /// Returns the values of a list, which are separated by commas.
   std::vector<std::string> list(const std::string& key) const { return splitText(text(key), ','); }
-  /// A number from 0 to 9e15.
+  /// Returns a number from 0 to 9e15.
   double number(const std::string& key) const { return parseNumber(key, text(key)); }
-  /// A whole number within the bounds, which belong to the range.
+  /// Returns an integer from `min` to `max`, inclusive.
   int integer(const std::string& key, double min, double max) const;
-  /// Microseconds.
+  /// Returns a duration, given as a number of microseconds.
   Duration time(const std::string& key) const { return parseTime(key, text(key)); }
-  /// "true" or "false".
+  /// Returns a flag, given as "true" or "false".
   bool flag(const std::string& key) const;
-  /// One of the texts that are known.
+  /// Returns the value of the text, which must be one of the `known` ones.
   template <typename T, std::size_t kCount>
   T choice(const std::string& key, const SettingChoice<T> (&known)[kCount]) const {
     return parseChoice(key, text(key), known);
   }
 
-  /// The same for a value that stands within a list; `key` is for the error.
+  /// Parse one value of a list. `key` is used only in the error message.
   static double parseNumber(const std::string& key, const std::string& value);
   static Duration parseTime(const std::string& key, const std::string& value);
   template <typename T, std::size_t kCount>
--- a/src/simulator/wire_format.hpp
+++ b/src/simulator/wire_format.hpp
@@ -1,7 +1,7 @@
-// The numbers of the simulator's wire: record codes, outcome codes and fixed sizes.
+// The constants of the simulator's wire format: record codes, outcome codes and sizes.
 //
-// All integers and floats are little-endian. The enumerators carry the field's terms; the names that the
-// wire's own page uses stand beside them.
+// All integers and floats are little-endian. The comment after each record code is the record's name in the
+// documentation of the wire format.
 #pragma once
 
 #include <cstddef>
@@ -51,14 +51,14 @@
   ConnectFailed = 14,
 };
 
-/// Bytes of the clock that opens each batch.
+/// Size in bytes of the clock at the start of each batch.
 constexpr std::size_t kClockBytes = 8;
-/// Bytes of one endpoint in an endpoint list.
+/// Size in bytes of one entry of an endpoint list.
 constexpr std::size_t kEndpointEntryBytes = 29;
-/// Bytes of the gossip between our own instances: endpoint, u32 position in ms after the epoch, u8 1 if it is
-/// a primary, u8 requests in flight.
+/// Size in bytes of a gossip message between instances of this program: endpoint, u32 position in ms after
+/// the epoch, u8 1 if the endpoint is a primary, else 0, and u8 number of requests in flight.
 constexpr std::uint16_t kGossipBytes = 12;
-/// Addresses a broadcast to all other instances.
+/// Recipient that addresses a broadcast to all other instances.
 constexpr std::uint16_t kAllPeers = 0xffff;
 
 }  // namespace stonebay::simulator
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// The dispatcher between fakes of its interfaces; sockets for the gossip alone.
+// Tests the dispatcher with fakes of its interfaces. Only the gossip test uses sockets.
 #include "dispatch/dispatcher.hpp"
 
 #include <gtest/gtest.h>
@@ -57,7 +57,7 @@
   bool hasLeft = false;
 };
 
-// In the configuration of the tests.
+// Indexes of the request classes in the tests' configuration.
 constexpr int kReadClass = 0;
 constexpr int kWriteClass = 1;
 
@@ -123,11 +123,11 @@
   EXPECT_EQ(endpoints.sent[0].endpoint, 2u);
 }
 
-TEST_F(DispatcherTest, DecidedAttemptIsNotWrittenOnceItsRequestIsOver) {
+TEST_F(DispatcherTest, DoesNotWriteAnAttemptWhoseRequestHasEnded) {
   const RequestId id = submitRead();
   EXPECT_TRUE(dispatcher.mayBeWritten(id));
   handler.hasLeft = true;
-  EXPECT_FALSE(dispatcher.mayBeWritten(id)) << "its client has closed, unread";
+  EXPECT_FALSE(dispatcher.mayBeWritten(id)) << "its client has closed the connection";
   handler.hasLeft = false;
   dispatcher.onClientLeft(id);
   EXPECT_FALSE(dispatcher.mayBeWritten(id));
@@ -137,8 +137,8 @@
   EXPECT_FALSE(dispatcher.mayBeWritten(99));
 }
 
-// By its own clock the replica's data would be of the future.
-TEST_F(DispatcherTest, ReadsGoToTheReplicaThoughTheWallClockWasBehind) {
+// By this machine's clock, the replica's data is from the future.
+TEST_F(DispatcherTest, SendsReadsToTheReplicaWhenTheWallClockIsBehind) {
   const Duration error = std::chrono::hours(1);
   reportHealth(1, true, dispatcher.now() + error);
   reportHealth(2, false, dispatcher.now() + error);
@@ -147,12 +147,12 @@
   EXPECT_EQ(endpoints.sent.back().endpoint, 2u);
 }
 
-TEST_F(DispatcherTest, StaleReplicaGetsNoReadThoughTheWallClockWasBehind) {
+TEST_F(DispatcherTest, SendsNoReadToAStaleReplicaWhenTheWallClockIsBehind) {
   const Duration error = std::chrono::hours(1);
-  reportHealth(2, false, dispatcher.now());  // an hour old by the others' clock
+  reportHealth(2, false, dispatcher.now());  // an hour old by the other machines' clock
   reportHealth(1, true, dispatcher.now() + error);
   submitRead();
-  reportHealth(2, false, dispatcher.now());  // that the request waits for
+  reportHealth(2, false, dispatcher.now());  // the request waits for this result
   ASSERT_FALSE(endpoints.sent.empty());
   EXPECT_EQ(endpoints.sent.back().endpoint, 1u);
 }
@@ -164,12 +164,12 @@
   ASSERT_EQ(endpoints.sent.size(), 2u);  // a retry, on the other endpoint
   EXPECT_EQ(endpoints.sent[1].attempt, 1);
   endAttempt(id, 1, 1, AttemptStatus::Ok);
-  endAttempt(id, 1, 1, AttemptStatus::Ok);  // no longer in flight: reported as closed, no second response
+  endAttempt(id, 1, 1, AttemptStatus::Ok);  // no longer in flight: gives no second response
   dispatcher.processEvents();
   EXPECT_EQ(handler.calls, "response v");
 }
 
-TEST_F(DispatcherTest, DropsAResponseWhenItsClientHasLeft) {
+TEST_F(DispatcherTest, DropsTheResponseIfTheClientHasLeft) {
   const RequestId id = submitRead();
   endAttempt(id, 0, 2, AttemptStatus::Ok);
   dispatcher.onClientLeft(id);
@@ -182,8 +182,8 @@
   EXPECT_EQ(endpoints.cancelled[0].id, other);
 }
 
-// A slow connection must not hide that the endpoint drains or its data ages meanwhile: both rules count from
-// the bytes sent.
+// While an attempt waits for a connection, its endpoint may start to drain or its data may become too old.
+// Both rules apply at the time when the attempt is written.
 TEST_F(DispatcherTest, ChecksEligibilityAgainOnceAConnectionIsEstablished) {
   const RequestId id = submitRead();
   dispatcher.onConnected(id, 0);
@@ -201,7 +201,7 @@
   EXPECT_EQ(endpoints.sent.back().endpoint, 1u);
 }
 
-TEST_F(DispatcherTest, RetiresEndpointsThatACompleteListLacks) {
+TEST_F(DispatcherTest, MarksEndpointsMissingFromACompleteListNotReady) {
   dispatcher.onEndpointList({7, true, {config.initialEndpoints.instances[0]}});
   dispatcher.processEvents();
   EXPECT_TRUE(endpoints.ready[1]);
@@ -211,8 +211,9 @@
   EXPECT_TRUE(endpoints.ready[1]);
 }
 
-// Over a long time every endpoint is replaced by a new one with a new name.
-TEST_F(DispatcherTest, RemovesDepartedEndpointsAndReusesNoId) {
+// Endpoints are replaced over time by new ones with new names, so the old ones must be removed. Late events
+// about them must not be taken for events of a new endpoint.
+TEST_F(DispatcherTest, RemovesDepartedEndpointsWithoutReusingTheirIds) {
   const RequestId id = submitRead();  // in flight at endpoint 2
   dispatcher.onEndpointList({7, true, {config.initialEndpoints.instances[0]}});
   dispatcher.processEvents();
@@ -226,7 +227,7 @@
   dispatcher.removeDeparted(dispatcher.now() + std::chrono::seconds(31));
   dispatcher.processEvents();
   EXPECT_EQ(endpoints.removed, std::vector<EndpointId>{2});
-  endAttempt(id, 0, 2, AttemptStatus::Ok);  // late, from an endpoint that is no longer known
+  endAttempt(id, 0, 2, AttemptStatus::Ok);  // late, from an endpoint that has been removed
   dispatcher.onHealthCheck(2, true, {1, 0, 0});
   dispatcher.processEvents();
   dispatcher.onEndpointList({8, true, config.initialEndpoints.instances});
@@ -235,40 +236,42 @@
   EXPECT_FALSE(endpoints.ready[2]);
 }
 
-TEST_F(DispatcherTest, SendsNoReadToDataOlderThanTheStalenessBound) {
-  Dispatcher fresh(base.get(), config);
-  fresh.start(endpoints, watcher);
-  fresh.processEvents();
-  const TimePoint tooOld = fresh.now() - std::chrono::seconds(6);  // the bound is 5 s
-  fresh.onHealthCheck(2, true, {unixSeconds(tooOld), 0.0, 0.0});
-  fresh.processEvents();
-  fresh.submit(handler, requestOf(fresh), emptyMessage());
-  fresh.processEvents();
+TEST_F(DispatcherTest, SendsNoReadToAnEndpointBeyondTheStalenessBound) {
+  Dispatcher freshDispatcher(base.get(), config);
+  freshDispatcher.start(endpoints, watcher);
+  freshDispatcher.processEvents();
+  const TimePoint tooOld = freshDispatcher.now() - std::chrono::seconds(6);  // the bound is 5 s
+  freshDispatcher.onHealthCheck(2, true, {unixSeconds(tooOld), 0.0, 0.0});
+  freshDispatcher.processEvents();
+  freshDispatcher.submit(handler, requestOf(freshDispatcher), emptyMessage());
+  freshDispatcher.processEvents();
   EXPECT_TRUE(endpoints.sent.empty());
-  fresh.onHealthCheck(1, false, {});
-  fresh.onHealthCheck(2, true, {unixSeconds(fresh.now()), 0.0, 0.0});
-  fresh.processEvents();
+  freshDispatcher.onHealthCheck(1, false, {});
+  freshDispatcher.onHealthCheck(2, true, {unixSeconds(freshDispatcher.now()), 0.0, 0.0});
+  freshDispatcher.processEvents();
   ASSERT_EQ(endpoints.sent.size(), 1u);
   EXPECT_EQ(endpoints.sent[0].endpoint, 2u);
 }
 
-// Incident event4996: a load report that comes with a response counts as much as that of a health check.
-TEST_F(DispatcherTest, UsesLoadReportsThatComeWithResponses) {
-  Dispatcher fresh(base.get(), config);
+// Guards against incident event4996: a load report that arrives with a response must be used like that of a
+// health check. Here it lets the waiting read be sent.
+TEST_F(DispatcherTest, UsesLoadReportsFromResponses) {
+  Dispatcher freshDispatcher(base.get(), config);
   FakeEndpointPool pool;
-  fresh.start(pool, watcher);
-  fresh.processEvents();
-  fresh.submit(handler, requestOf(fresh), emptyMessage());
-  const RequestId id = fresh.submit(handler, requestOf(fresh, kWriteClass), emptyMessage());
-  fresh.processEvents();
-  ASSERT_EQ(pool.sent.size(), 1u);  // the write looks for the primary; no endpoint's position is known
+  freshDispatcher.start(pool, watcher);
+  freshDispatcher.processEvents();
+  freshDispatcher.submit(handler, requestOf(freshDispatcher), emptyMessage());
+  const RequestId id =
+      freshDispatcher.submit(handler, requestOf(freshDispatcher, kWriteClass), emptyMessage());
+  freshDispatcher.processEvents();
+  ASSERT_EQ(pool.sent.size(), 1u);  // the write, to find the primary; the read waits for a known position
   const EndpointId tried = pool.sent[0].endpoint;
   AttemptResult result;
   result.status = AttemptStatus::TooStale;
   result.role = Role::Replica;
-  result.report = {unixSeconds(fresh.now()), 0.0, 1.0};
-  fresh.onAttemptEnded(id, 0, tried, std::move(result));
-  fresh.processEvents();
+  result.report = {unixSeconds(freshDispatcher.now()), 0.0, 1.0};
+  freshDispatcher.onAttemptEnded(id, 0, tried, std::move(result));
+  freshDispatcher.processEvents();
   ASSERT_EQ(pool.sent.size(), 3u);
   EXPECT_TRUE(pool.sent[1].endpoint == tried || pool.sent[2].endpoint == tried);
 }
@@ -292,37 +295,37 @@
   config.gossipListen = *Address::parse("127.0.0.1:0");
   config.gossipBroadcast = peer;
   config.gossipPeers = {peer};
-  Dispatcher one(base.get(), config);
-  GossipSocket gossipSocket(base.get(), one, config);
+  Dispatcher gossipingDispatcher(base.get(), config);
+  GossipSocket gossipSocket(base.get(), gossipingDispatcher, config);
   FakeEndpointPool pool;
-  one.start(pool, watcher, &gossipSocket);
-  one.processEvents();
-  one.onHealthCheck(2, true, {unixSeconds(one.now()), 0.0, 3.0});
-  one.processEvents();
+  gossipingDispatcher.start(pool, watcher, &gossipSocket);
+  gossipingDispatcher.processEvents();
+  gossipingDispatcher.onHealthCheck(2, true, {unixSeconds(gossipingDispatcher.now()), 0.0, 3.0});
+  gossipingDispatcher.processEvents();
   char bytes[512];
   sockaddr_storage from{};
   socklen_t length = sizeof from;
   const ssize_t n = recvfrom(peerFd, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &length);
   ASSERT_EQ(n, 13);
-  // The same message, with endpoint 2 as the primary, from a stranger and then from the peer.
+  // Send the same message, with endpoint 2 as the primary, first from a stranger and then from the peer.
   usleep(2000);  // a newer position than the one that endpoint 2 reported
-  const auto nowMs = one.now().time_since_epoch().count() / 1000;
+  const auto nowMs = gossipingDispatcher.now().time_since_epoch().count() / 1000;
   gossip::Message message = gossip::parse({bytes, 13}, nowMs).at(0);
   EXPECT_EQ(message.inFlight, 3);
   EXPECT_FALSE(message.primary);
   message.primary = true;
   message.positionMs = nowMs;
   const std::string datagram = gossip::encode({message})[0];
-  const Request write = requestOf(one, kWriteClass);
+  const Request write = requestOf(gossipingDispatcher, kWriteClass);
   for (const int fd : {strangerFd, peerFd}) {
     sendto(fd, datagram.data(), datagram.size(), 0, reinterpret_cast<const sockaddr*>(&from), length);
     sendto(fd, "nonsense", 8, 0, reinterpret_cast<const sockaddr*>(&from), length);
     event_base_loop(base.get(), EVLOOP_ONCE);
-    EXPECT_EQ(one.hasPendingEvents(), fd == peerFd);
+    EXPECT_EQ(gossipingDispatcher.hasPendingEvents(), fd == peerFd);
   }
-  one.processEvents();
-  one.submit(handler, write, emptyMessage());
-  one.processEvents();
+  gossipingDispatcher.processEvents();
+  gossipingDispatcher.submit(handler, write, emptyMessage());
+  gossipingDispatcher.processEvents();
   ASSERT_EQ(pool.sent.size(), 1u);
   EXPECT_EQ(pool.sent[0].endpoint, 2u);
   close(peerFd);
--- a/tests/endpoint_ids_test.cpp
+++ b/tests/endpoint_ids_test.cpp
@@ -7,7 +7,7 @@
 namespace stonebay {
 namespace {
 
-TEST(EndpointIds, GiveOneIdForEachName) {
+TEST(EndpointIds, AssignOneIdPerName) {
   EndpointIds ids;
   EXPECT_FALSE(ids.anyAssigned());
   const EndpointId one = ids.assign("s-1");
@@ -21,7 +21,7 @@
   EXPECT_TRUE(ids.anyAssigned());
 }
 
-TEST(EndpointIds, AreNotReusedAfterAnErase) {
+TEST(EndpointIds, AreNotReusedAfterErase) {
   EndpointIds ids;
   const EndpointId before = ids.assign("s-1");
   ids.erase(before);
@@ -32,7 +32,7 @@
   EXPECT_EQ(ids.findByGossipKey(EndpointIds::gossipKey("s-1")), after);
 }
 
-TEST(EndpointIds, AreFoundByTheirGossipKey) {
+TEST(EndpointIds, AreFoundByGossipKey) {
   EndpointIds ids;
   const EndpointId one = ids.assign("s-1");
   const std::uint64_t key = EndpointIds::gossipKey("s-1");
--- a/tests/position_test.cpp
+++ b/tests/position_test.cpp
@@ -7,8 +7,8 @@
 namespace stonebay {
 namespace {
 
-// Positions must never look newer than they were reported, after a short uptime or a long one.
-TEST(Position, AreRoundedDownAndStayPreciseUntilTheEpochAdvances) {
+// A converted position must never look newer than the reported one, however old the epoch is.
+TEST(Position, AreRoundedDownAndPreciseUntilTheEpochAdvances) {
   const TimePoint epoch(std::chrono::seconds(1767225600));
   const std::int64_t epochUs = epoch.time_since_epoch().count();
   for (const std::int64_t ms : {1, 999, 59999, 60001, 3600123, 7199999}) {
@@ -39,7 +39,7 @@
   EXPECT_EQ(epoch.value(), TimePoint(std::chrono::hours(2) - std::chrono::seconds(20)));
 }
 
-TEST(PositionEpoch, KnowsNoPositionBeforeItself) {
+TEST(PositionEpoch, ReturnsNoPositionThatIsNotAfterIt) {
   const PositionEpoch epoch(TimePoint(std::chrono::seconds(100)));
   EXPECT_FALSE(epoch.position(0));
   EXPECT_FALSE(epoch.position(40'000));
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,4 +1,4 @@
-// The simulator's wire: frames, settings, events and actions byte by byte.
+// Tests the simulator's wire format byte by byte: frames, settings, events and actions.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -67,8 +67,8 @@
   fields.insert(fields.end(), settings.begin(), settings.end());
   return fields;
 }
-// A batch that starts instance 3 with one endpoint in group 11.
-Bytes startingBatch(const std::string& settings = kSettings) {
+// Returns a batch that starts instance 3 and gives it an endpoint list with one endpoint, in group 11.
+Bytes instanceStartBatch(const std::string& settings = kSettings) {
   Bytes batch = emptyBatch();
   appendRecord(batch, 3, instanceStartedFields(settings));
   appendRecord(
@@ -77,7 +77,7 @@
   appendRecord(batch, 10, fromHex("0300 02 2900000000000000 00000000"));
   return batch;
 }
-// Codes of a reply's records, after a check of its two counts.
+// Returns the codes of a reply's records. Checks the record count and the size in the reply's header.
 std::vector<int> recordCodes(const Bytes& reply) {
   std::vector<int> codes;
   std::uint32_t count = 0;
@@ -112,47 +112,47 @@
 
 TEST(SimulatorAdapter, SendsARequestToAnEndpointInTheDocumentedLayout) {
   Adapter adapter;
-  Bytes batch = startingBatch();
-  const Bytes order =
+  Bytes batch = instanceStartBatch();
+  const Bytes requestFields =
       fromHex("0300 c4913a5d 01 00000000 640ad2557c3bf091 0040ce43 da05940000000000 00003041 0000 e02e0000");
-  appendRecord(batch, 7, order);
+  appendRecord(batch, 7, requestFields);
   const Bytes reply = handle(adapter, batch);
-  const Bytes dispatch = fromHex("41 14000000 0300 c4913a5d da05940000000000 0a124a07 431f");
-  EXPECT_TRUE(contains(reply, dispatch));
+  const Bytes expectedSend = fromHex("41 14000000 0300 c4913a5d da05940000000000 0a124a07 431f");
+  EXPECT_TRUE(contains(reply, expectedSend));
   recordCodes(reply);
-  Bytes next = emptyBatch(8500000);
-  appendRecord(next, 1, fromHex("0300 c4913a5d 00 0a124a07 431f 0000 44480000 01 8e630000 00"));
-  appendRecord(next, 2, fromHex("0300 c4913a5d 00 0a124a07 431f 22240000"));
-  appendRecord(next, 4, fromHex("0300 02000000 0400 68692037"));
-  appendRecord(next, 6, fromHex("0300 0a124a07 431f 78050000 0000 02 2b87c640 00000000"));
-  appendRecord(next, 8, fromHex("0300 192b6f0e"));
-  appendRecord(next, 9, fromHex("0300 4d00000000000000"));
-  appendRecord(next, 200, fromHex("0102"));  // a later version's record
-  appendRecord(next, 11, fromHex("0300"));
-  appendRecord(next, 9, fromHex("0300 4d00000000000000"));  // for an instance that has been stopped
-  recordCodes(handle(adapter, next));
+  Bytes laterBatch = emptyBatch(8500000);
+  appendRecord(laterBatch, 1, fromHex("0300 c4913a5d 00 0a124a07 431f 0000 44480000 01 8e630000 00"));
+  appendRecord(laterBatch, 2, fromHex("0300 c4913a5d 00 0a124a07 431f 22240000"));
+  appendRecord(laterBatch, 4, fromHex("0300 02000000 0400 68692037"));
+  appendRecord(laterBatch, 6, fromHex("0300 0a124a07 431f 78050000 0000 02 2b87c640 00000000"));
+  appendRecord(laterBatch, 8, fromHex("0300 192b6f0e"));
+  appendRecord(laterBatch, 9, fromHex("0300 4d00000000000000"));
+  appendRecord(laterBatch, 200, fromHex("0102"));  // a record of a later version
+  appendRecord(laterBatch, 11, fromHex("0300"));
+  appendRecord(laterBatch, 9, fromHex("0300 4d00000000000000"));  // for an instance that has been stopped
+  recordCodes(handle(adapter, laterBatch));
 }
 
-TEST(SimulatorAdapter, BroadcastsAndReceivesGossipInOneLayout) {
+TEST(SimulatorAdapter, BroadcastsAndReceivesGossipInTheSameLayout) {
   const std::string settings = std::string(kSettings) + "allowed.peers=true\n";
   Adapter adapter;
-  Bytes batch = startingBatch(settings);
-  // 7 s after the epoch, a replica by its own report
+  Bytes batch = instanceStartBatch(settings);
+  // The load report: position 7 s after the epoch, and the endpoint is a replica.
   appendRecord(batch, 6, fromHex("0300 0a124a07 431f 78050000 0000 02 0000e040 00000000"));
   const Bytes reply = handle(adapter, batch);
   const Bytes broadcast = fromHex("48 12000000 0300 ffff 0c00 0a124a07 431f 571b0000 00 00");
   EXPECT_TRUE(contains(reply, broadcast));
   Adapter other;
-  Bytes received = startingBatch(settings);
+  Bytes received = instanceStartBatch(settings);
   appendRecord(received, 4, fromHex("0300 02000000 0c00 0a124a07 431f 571b0000 01 00"));
   appendRecord(received, 4, fromHex("0300 02000000 0300 0a124a"));
   appendRecord(
       received, 7,
       fromHex("0300 c4913a5d 05 00000000 640ad2557c3bf091 00000000 da05940000000000 00003041 0100 e02e0000"));
   const std::vector<int> codes = recordCodes(handle(other, received));
-  EXPECT_TRUE(contains(codes, 65)) << "the write goes to the primary that the gossip named";
+  EXPECT_TRUE(contains(codes, 65)) << "the write is sent to the primary named by the gossip";
 }
-TEST(SimulatorAdapter, RejectsRecordsThatAreCutAtAnyByte) {
+TEST(SimulatorAdapter, RejectsRecordsTruncatedAtAnyByte) {
   const std::vector<std::pair<int, Bytes>> records{
       {3, instanceStartedFields(kSettings)},
       {5, fromHex("00000000 01000000 0a124a07 431f 0000 0000 0b00 01 0000803f 0000803f 0000000000000000")},
@@ -168,15 +168,16 @@
   for (const auto& [code, fields] : records) {
     for (std::size_t n = 0; n < fields.size(); ++n) {
       Adapter adapter;
-      handle(adapter, startingBatch());
+      handle(adapter, instanceStartBatch());
       Bytes batch = emptyBatch();
       appendRecord(batch, static_cast<std::uint8_t>(code),
                    Bytes(fields.begin(), fields.begin() + static_cast<long>(n)));
-      EXPECT_THROW(handle(adapter, batch), MalformedFrame) << code << " cut at " << n;
+      EXPECT_THROW(handle(adapter, batch), MalformedFrame) << code << " truncated at " << n;
     }
   }
-  const Bytes complete = startingBatch();
-  for (std::size_t n = 0; n < complete.size(); ++n) {  // the batch itself; some cuts fall between records
+  const Bytes complete = instanceStartBatch();
+  // Truncates the batch itself, which is valid if it ends between two records.
+  for (std::size_t n = 0; n < complete.size(); ++n) {
     Adapter adapter;
     const Bytes part(complete.begin(), complete.begin() + static_cast<long>(n));
     try {
@@ -189,13 +190,14 @@
 
 TEST(SimulatorAdapter, StartsANewReplyAfterAMalformedBatch) {
   Adapter adapter;
-  Bytes batch = startingBatch();
+  Bytes batch = instanceStartBatch();
   appendRecord(batch, 8, {});
   EXPECT_THROW(handle(adapter, batch), MalformedFrame);
   EXPECT_EQ(handle(adapter, emptyBatch()), Bytes(8, 0));
 }
 
-// The note of an outcome: 4 x the position in ms after the epoch, + 1 from a primary or + 2 from a replica.
+// The note of an outcome is 4 x the position in ms after the epoch, plus 1 from a primary or 2 from a
+// replica.
 TEST(SimulatorAdapter, DecodesTheNoteOfAnOutcomeToRoleAndPosition) {
   const TimePoint epoch(std::chrono::seconds(100));
   const auto outcomeWith = [&](std::uint32_t note) {
@@ -220,10 +222,11 @@
   EXPECT_EQ(outcomeWith(1).position, std::nullopt) << "no position";
   EXPECT_EQ(outcomeWith(0).role, Role::Unknown);
   EXPECT_EQ(outcomeWith(0).position, std::nullopt);
-  EXPECT_EQ(outcomeWith(0xffffffff).position, after(0x3fffffff)) << "the latest that the note can carry";
+  EXPECT_EQ(outcomeWith(0xffffffff).position, after(0x3fffffff))
+      << "the latest position that a note can contain";
 }
 
-TEST(SimulatorFrameWriter, CutsLongText) {
+TEST(SimulatorFrameWriter, TruncatesLongText) {
   FrameWriter writer;
   writer.beginRecord(ActionCode::Log, 3);
   writer.putText(std::string(FrameWriter::kMaxTextBytes + 1, 'x'));
@@ -237,7 +240,7 @@
   const auto failureWith = [](std::string settings, const std::string& from, const std::string& to) {
     settings.replace(settings.find(from), from.size(), to);
     Adapter adapter;
-    const Bytes reply = handle(adapter, startingBatch(settings));
+    const Bytes reply = handle(adapter, instanceStartBatch(settings));
     EXPECT_EQ(recordCodes(reply), std::vector<int>{74});
     return std::string(reply.begin() + 17, reply.end());
   };
@@ -251,7 +254,7 @@
             std::string::npos);
 }
 
-// Runs the host's loop on the input; returns its exit status and appends what it wrote to `output`.
+// Runs the host's main loop on `input`. Returns its exit status and appends what it wrote to `output`.
 int runOn(const Bytes& input, Bytes* output = nullptr) {
   int in[2];
   int out[2];
@@ -271,7 +274,7 @@
   close(out[0]);
   return status;
 }
-TEST(SimulatorHost, AcceptsTheEndOfTheInputBetweenFramesOnly) {
+TEST(SimulatorHost, AcceptsTheEndOfInputOnlyBetweenFrames) {
   const Bytes frame = fromHex("08000000 5a5c800000000000");
   EXPECT_EQ(runOn({}), 0);
   Bytes reply;
@@ -285,7 +288,7 @@
 
 TEST(SimulatorAdapter, RejectsUnknownClassesAndMalformedGroups) {
   Adapter adapter;
-  Bytes batch = startingBatch();
+  Bytes batch = instanceStartBatch();
   appendRecord(
       batch, 7,
       fromHex("0300 c4913a5d 01 00000000 0000000000000000 00000000 da05940000000000 00003041 6300 00000000"));
--- a/tests/timer_queue_test.cpp
+++ b/tests/timer_queue_test.cpp
@@ -5,7 +5,7 @@
 namespace stonebay {
 namespace {
 
-TEST(TimerQueue, ReturnsTimersInTheOrderInWhichTheyAreDue) {
+TEST(TimerQueue, ReturnsTimersInOrderOfDueTime) {
   TimerQueue timers;
   EXPECT_FALSE(timers.nextDue());
   timers.schedule(TimePoint(Duration(20)), TimerToken{TimerKind::Wake, 1});
@@ -15,7 +15,7 @@
   EXPECT_FALSE(timers.popDue(TimePoint(Duration(9))));
   EXPECT_EQ(timers.popDue(TimePoint(Duration(20)))->id, 2u);
   EXPECT_EQ(timers.popDue(TimePoint(Duration(20)))->id, 1u)
-      << "of those due at the same time, the one scheduled earlier";
+      << "timers due at the same time are returned in the order of scheduling";
   EXPECT_EQ(timers.popDue(TimePoint(Duration(20)))->id, 3u);
   EXPECT_FALSE(timers.popDue(TimePoint(Duration(20))));
   EXPECT_FALSE(timers.nextDue());
--- a/tests/wall_clock_correction_test.cpp
+++ b/tests/wall_clock_correction_test.cpp
@@ -1,4 +1,4 @@
-// What positions of endpoints say of this machine's wall clock.
+// Tests the estimate of the wall clock's error from the positions that endpoints report.
 #include "dispatch/wall_clock_correction.hpp"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   }
 }
 
-TEST(WallClockCorrection, PositionOfTheFutureShowsThatTheClockIsBehind) {
+TEST(WallClockCorrection, OnePositionInTheFutureShowsThatTheClockIsBehind) {
   WallClockCorrection correction;
   EXPECT_EQ(correction.observe(kNow + hours(1) - milliseconds(80), false, kNow), hours(1) - milliseconds(80));
   EXPECT_EQ(correction.observe(kNow + hours(1) - milliseconds(10), true, kNow), milliseconds(70));
@@ -39,13 +39,13 @@
   EXPECT_EQ(change, -seconds(5));
 }
 
-TEST(WallClockCorrection, PrimaryThatIsFarBehindIsEnoughAndAnyNewerPositionTakesItBack) {
+TEST(WallClockCorrection, OneVeryOldPrimaryPositionIsSufficientUntilANewerPositionArrives) {
   WallClockCorrection correction;
   EXPECT_EQ(correction.observe(kNow - hours(1), true, kNow), -hours(1));
   EXPECT_EQ(correction.observe(kNow - milliseconds(100), false, kNow), hours(1) - milliseconds(100));
 }
 
-TEST(WallClockCorrection, ReportsThatWaitedWhileTheProcessWasHeldUpShowNothing) {
+TEST(WallClockCorrection, IgnoresReportsDelayedByAStallOfTheProcess) {
   WallClockCorrection correction;
   for (int k = 0; k < 100; ++k) correction.observe(kNow - seconds(2), true, kNow);
   EXPECT_EQ(correction.observe(kNow, true, kNow + milliseconds(100)), Duration(0));
@@ -53,7 +53,7 @@
   EXPECT_EQ(correction.value(), Duration(0));
 }
 
-TEST(WallClockCorrection, OnePrimaryThatIsBehindShowsNothing) {
+TEST(WallClockCorrection, IgnoresOnePrimaryThatIsBehindWhileAnotherIsNot) {
   WallClockCorrection correction;
   TimePoint now = kNow;
   for (int k = 0; k < 50; ++k, now += milliseconds(100)) {
@@ -63,14 +63,15 @@
   EXPECT_EQ(correction.value(), Duration(0));
 }
 
-TEST(WallClockCorrection, RecoversFromAPositionThatWasWrong) {
+TEST(WallClockCorrection, RecoversFromAWrongPosition) {
   WallClockCorrection correction;
   correction.observe(kNow + seconds(100), false, kNow);
   TimePoint now = kNow;
   for (int k = 0; k <= 30; ++k, now += milliseconds(100))
     correction.observe(now - milliseconds(50), true, now);
   EXPECT_EQ(correction.value(), -milliseconds(50));
-  EXPECT_EQ(correction.observe(now + hours(3), true, now), Duration(0)) << "no clock is that wrong";
+  EXPECT_EQ(correction.observe(now + hours(3), true, now), Duration(0))
+      << "differences above kMaxError are ignored";
 }
 
 }  // namespace
