--- a/src/downstream/pg/arrival_times.cpp
+++ b/src/downstream/pg/arrival_times.cpp
@@ -10,20 +10,20 @@
 }  // namespace
 
 void ArrivalTimes::record(std::size_t unread, TimePoint now) {
-  const std::uint64_t end = consumed_ + unread;
+  const std::uint64_t endOffset = consumed_ + unread;
   if (arrivals_.empty()) {
-    arrivals_.push_back({end, now});
+    arrivals_.push_back({endOffset, now});
     return;
   }
   Arrival& latest = arrivals_.back();
   if (now - latest.at < kArrivalResolution)
-    latest.end = std::max(latest.end, end);
-  else if (end > latest.end)
-    arrivals_.push_back({end, now});
+    latest.endOffset = std::max(latest.endOffset, endOffset);
+  else if (endOffset > latest.endOffset)
+    arrivals_.push_back({endOffset, now});
 }
 
-TimePoint ArrivalTimes::ofLastConsumed() {
-  while (arrivals_.size() > 1 && arrivals_.front().end < consumed_) arrivals_.pop_front();
+TimePoint ArrivalTimes::arrivalOfLastConsumedByte() {
+  while (arrivals_.size() > 1 && arrivals_.front().endOffset < consumed_) arrivals_.pop_front();
   return arrivals_.front().at;
 }
 
--- a/src/downstream/pg/arrival_times.hpp
+++ b/src/downstream/pg/arrival_times.hpp
@@ -1,4 +1,4 @@
-// When the bytes of a client's input arrived.
+// Records when the bytes of a client's input arrived.
 #pragma once
 
 #include <cstddef>
@@ -9,20 +9,20 @@
 
 namespace stonebay {
 
-/// A request's deadline counts from its arrival, though it may be pipelined behind others that take long.
-/// Input that arrives within some ms counts as one arrival.
+/// A request's deadline counts from its arrival, even if it is pipelined behind requests that take long.
+/// Input that arrives within a few milliseconds counts as one arrival.
 class ArrivalTimes {
  public:
-  /// Notes the input that has arrived by now: `unread` bytes wait to be consumed.
+  /// Records the input that has arrived by `now`. `unread` is the number of bytes that are not consumed yet.
   void record(std::size_t unread, TimePoint now);
-  /// The first `length` bytes of the input have been taken.
+  /// Marks the first `length` unread bytes as consumed.
   void consume(std::size_t length) { consumed_ += length; }
-  /// When the last byte that has been consumed arrived. Something must have been recorded.
-  TimePoint ofLastConsumed();
+  /// Returns when the last consumed byte arrived. record() must have been called before.
+  TimePoint arrivalOfLastConsumedByte();
 
  private:
   struct Arrival {
-    std::uint64_t end;  // bytes that had arrived in all
+    std::uint64_t endOffset;  // number of bytes that had arrived in total
     TimePoint at;
   };
   std::uint64_t consumed_ = 0;
--- a/src/downstream/pg/client_connection.cpp
+++ b/src/downstream/pg/client_connection.cpp
@@ -9,7 +9,7 @@
 namespace stonebay {
 namespace {
 
-constexpr timeval kWriteTimeout{10, 0};  // for a client that does not read its responses
+constexpr timeval kWriteTimeout{10, 0};  // 10 s, for a client that does not read its responses
 constexpr short kDisconnectEvents = BEV_EVENT_EOF | BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT;
 
 ClientConnectionHandler& handlerOf(void* context) { return *static_cast<ClientConnectionHandler*>(context); }
@@ -48,7 +48,8 @@
   bufferevent_setwatermark(bev_.get(), EV_READ, 0, bytes);
 }
 
-// libevent calls back time and again while the input stands at its high watermark.
+// Reading is disabled at the limit, because libevent calls the read callback in every pass of the event loop
+// while the input is at its high watermark.
 void ClientConnection::updateReading() {
   const bool hasRoom = unread() < inputLimit_;
   if (hasRoom == reading_) return;
--- a/src/downstream/pg/client_connection.hpp
+++ b/src/downstream/pg/client_connection.hpp
@@ -1,4 +1,4 @@
-// The socket of a client: its input, which is bounded, and its output.
+// The socket of a client: input, which is bounded, and output.
 #pragma once
 
 #include <cstddef>
@@ -7,12 +7,14 @@
 
 namespace stonebay {
 
-/// Notified from the event loop, never from within a call of the connection.
+/// Receives the events of a ClientConnection. Called from the event loop, never from within a call of the
+/// connection.
 class ClientConnectionHandler {
  public:
   virtual void onReadable() = 0;
   virtual void onOutputFlushed() = 0;
-  /// Closed or reset by the client, or it has not read its output for long. May destroy the connection.
+  /// The client has closed or reset the connection, or has not read its output within the write timeout. May
+  /// destroy the connection.
   virtual void onDisconnected() = 0;
 
  protected:
@@ -21,10 +23,10 @@
 
 class ClientConnection {
  public:
-  /// What is read of a client before it is known what it sends.
+  /// Default limit of unread input in bytes. A longer message needs a higher limit, see setInputLimit.
   static constexpr std::size_t kReadAhead = 16 << 10;
 
-  /// Takes an accepted descriptor.
+  /// Takes ownership of an accepted descriptor.
   ClientConnection(event_base* base, evutil_socket_t fd, ClientConnectionHandler& handler);
 
   evbuffer* input() const { return bufferevent_get_input(bev_.get()); }
@@ -32,28 +34,28 @@
   std::size_t unread() const { return evbuffer_get_length(input()); }
   std::size_t unsent() const { return evbuffer_get_length(output()); }
 
-  /// Whether any input waits: read ahead, or still to be read by this process.
+  /// Whether there is input that has not been processed, in the buffer or in the socket.
   bool hasInput() const { return unread() > 0 || hasPendingInput(); }
-  /// Whether input, or the client's end, has arrived and is still to be read by this process.
+  /// Whether the socket has input that has not been read, or the connection has ended.
   bool hasPendingInput() const;
-  /// Whether the client has closed its end, which stands behind what it has sent.
+  /// Whether the client has closed its end, even if input that it sent before has not been read yet.
   bool peerClosed() const;
 
-  /// Whether input is read as it arrives.
+  /// Whether reading is enabled.
   bool reading() const { return reading_; }
-  /// At least kReadAhead; from then on reading pauses at this much.
+  /// Sets the number of unread bytes at which reading pauses; at least kReadAhead.
   void setInputLimit(std::size_t bytes);
-  /// Pauses reading where the input has reached its limit, and resumes it where it has not.
+  /// Pauses reading if the input has reached its limit, and resumes it otherwise.
   void updateReading();
   void resumeReading();
   /// Calls ClientConnectionHandler::onReadable from the event loop.
   void scheduleRead();
 
-  /// Returns the number of bytes dropped.
+  /// Drops all unread input and returns its length in bytes.
   std::size_t discardInput() const;
-  /// Tells the client that nothing more is sent.
+  /// Shuts down the sending side of the socket.
   void closeOutput();
-  /// Starts the time that the client has to read its output anew.
+  /// Restarts the write timeout, within which the client has to read its output.
   void restartWriteTimeout();
 
  private:
--- a/src/downstream/pg/client_listener.cpp
+++ b/src/downstream/pg/client_listener.cpp
@@ -18,16 +18,16 @@
 
 constexpr int kBacklog = 1024;
 constexpr Duration kAcceptRetryDelay = std::chrono::milliseconds(20);
-// New connections may keep coming for 0.4 s after SIGTERM.
+// Clients may open new connections until 0.4 s after SIGTERM.
 constexpr Duration kShutdownAcceptPeriod = std::chrono::milliseconds(500);
-// How long the last look at the backlog is repeated while accept fails.
+// How long the shutdown keeps trying to accept the connections that are left in the backlog.
 constexpr Duration kBacklogRetryPeriod = std::chrono::milliseconds(100);
-// Requests in flight when accepting ends are finished within the longest deadline and this.
+// After accepting has stopped, requests in flight get the longest deadline plus this time to finish.
 constexpr Duration kShutdownGrace = std::chrono::seconds(1);
-constexpr Duration kCheckInterval = std::chrono::milliseconds(100);
+constexpr Duration kTimeoutCheckInterval = std::chrono::milliseconds(100);
 
-// Errors of accept that concern the connection at hand, or the call; the next one may succeed at once.
-bool failsOneConnection(int error) {
+// Whether an error of accept concerns only one connection or one call, so that the next call may succeed.
+bool isPerConnectionError(int error) {
   switch (error) {
     case EINTR:
     case ECONNABORTED:
@@ -66,12 +66,12 @@
   return "unknown";
 }
 
-// Clients that close between requests, and sessions that have ended as they should, are not news.
+// Sessions that end as expected and have no request in flight are not logged.
 void logClose(const ClientSession& session, CloseReason reason) {
   const bool isExpected = reason == CloseReason::Disconnected || reason == CloseReason::Finished;
-  if (isExpected && session.requestId().empty()) return;
+  if (isExpected && session.clientRequestId().empty()) return;
   logEvent(LogLevel::Info, "session_closed",
-           {{"reason", closeReasonName(reason)}, {"request", session.requestId()}});
+           {{"reason", closeReasonName(reason)}, {"request", session.clientRequestId()}});
 }
 
 }  // namespace
@@ -96,10 +96,11 @@
       base, -1, 0,
       [](evutil_socket_t, short, void* self) { static_cast<ClientListener*>(self)->resumeAccepting(); },
       this));
-  checkTimer_.reset(event_new(
+  timeoutCheckTimer_.reset(event_new(
       base, -1, EV_PERSIST,
-      [](evutil_socket_t, short, void* self) { static_cast<ClientListener*>(self)->checkSessions(); }, this));
-  startTimer(checkTimer_.get(), kCheckInterval);
+      [](evutil_socket_t, short, void* self) { static_cast<ClientListener*>(self)->checkSessionTimeouts(); },
+      this));
+  startTimer(timeoutCheckTimer_.get(), kTimeoutCheckInterval);
   shutdownTimer_.reset(event_new(
       base, -1, 0,
       [](evutil_socket_t, short, void* self) { static_cast<ClientListener*>(self)->onShutdownTimer(); },
@@ -121,8 +122,8 @@
   resumeAccepting();
 }
 
-// The listener stays ready while nothing can be accepted, the descriptor table being full: retried at once it
-// would spin.
+// While the descriptor table is full, the listening socket stays readable but nothing can be accepted.
+// Accepting is paused, because retrying immediately would make the event loop spin.
 void ClientListener::onAcceptFailed() {
   logEvent(LogLevel::Warning, "accept_failed", {{"why", std::strerror(EVUTIL_SOCKET_ERROR())}});
   pauseAccepting();
@@ -141,11 +142,11 @@
   startTimer(acceptTimer_.get(), kAcceptRetryDelay);
 }
 
-// Whether one more session has room; one that can be evicted makes way.
+// Returns whether there is room for one more session, and evicts a session if necessary.
 bool ClientListener::hasRoom() { return sessions_.size() < config_.maxClientConnections || evictSession(); }
 
-// What this machine has accepted may have sent requests already; closing the listener would reset it. False:
-// some of it may be left, and can perhaps be accepted later.
+// Accepts the connections in the backlog, because closing the listener resets them and their clients may have
+// sent requests already. Returns false if some may be left that a later call might accept.
 bool ClientListener::acceptBacklog() {
   const evutil_socket_t listening = evconnlistener_get_fd(listener_.get());
   for (int calls = 0; calls < kBacklog; ++calls) {
@@ -156,7 +157,7 @@
       continue;
     }
     if (errno == EAGAIN || errno == EWOULDBLOCK) return true;
-    if (!failsOneConnection(errno)) return false;
+    if (!isPerConnectionError(errno)) return false;
   }
   return false;
 }
@@ -181,27 +182,29 @@
   if (stoppedAcceptingAt_ && sessions_.empty()) done_();
 }
 
-// Connections that nobody uses must not keep out those with requests: evicted is the session with the highest
-// priority, of several the one that has been so for longest.
+// Evicts the session with the highest eviction priority, and of several the one that has been inactive
+// longest, so that unused connections do not keep out clients with requests. Returns false if no session can
+// be evicted.
 bool ClientListener::evictSession() {
   const TimePoint now = dispatcher_.now();
-  ClientSession* best = nullptr;
-  EvictionPriority highest = EvictionPriority::Never;
+  ClientSession* candidate = nullptr;
+  EvictionPriority candidatePriority = EvictionPriority::Never;
   for (const auto& [session, owned] : sessions_) {
     const EvictionPriority priority = session->evictionPriority(now);
-    if (priority == EvictionPriority::Never || priority < highest) continue;
-    if (priority == highest && session->lastActiveAt() >= best->lastActiveAt()) continue;
+    if (priority == EvictionPriority::Never || priority < candidatePriority) continue;
+    if (priority == candidatePriority && session->lastActiveAt() >= candidate->lastActiveAt()) continue;
     if (priority == EvictionPriority::Idle && !session->idle()) continue;
-    best = session;
-    highest = priority;
+    candidate = session;
+    candidatePriority = priority;
   }
-  if (best == nullptr) return false;
-  removeSession(*best, CloseReason::Evicted);
+  if (candidate == nullptr) return false;
+  removeSession(*candidate, CloseReason::Evicted);
   return true;
 }
 
-// Clients that send one request and keep their connections may have no connection left on their own side
-// while there is room here: beyond a limit the longest idle one makes way for each that becomes active.
+// Clients that keep their connections open after one request may run out of connections on their own side
+// while there is still room in this proxy. Above the limit on active sessions, the one that has been idle
+// longest is therefore closed for each session that becomes active.
 void ClientListener::onFirstRequest(ClientSession& session) {
   ++activeSessions_;
   if (activeSessions_ > config_.maxActiveClients) evictLongestIdle(session);
@@ -209,16 +212,16 @@
 
 void ClientListener::evictLongestIdle(const ClientSession& except) {
   const TimePoint now = dispatcher_.now();
-  ClientSession* longest = nullptr;
+  ClientSession* longestIdle = nullptr;
   for (const auto& [session, owned] : sessions_) {
     if (session == &except || session->evictionPriority(now) != EvictionPriority::Idle) continue;
-    if (longest != nullptr && session->lastActiveAt() >= longest->lastActiveAt()) continue;
-    if (session->idle()) longest = session;
+    if (longestIdle != nullptr && session->lastActiveAt() >= longestIdle->lastActiveAt()) continue;
+    if (session->idle()) longestIdle = session;
   }
-  if (longest) onSessionClosed(*longest, CloseReason::Evicted);
+  if (longestIdle) onSessionClosed(*longestIdle, CloseReason::Evicted);
 }
 
-void ClientListener::checkSessions() {
+void ClientListener::checkSessionTimeouts() {
   const TimePoint now = dispatcher_.now();
   std::vector<std::pair<ClientSession*, CloseReason>> timedOut;
   for (const auto& [session, owned] : sessions_)
@@ -243,17 +246,17 @@
 }
 
 void ClientListener::stopAccepting() {
-  const bool isComplete = acceptBacklog();
+  const bool backlogEmpty = acceptBacklog();
   const TimePoint now = dispatcher_.now();
-  if (!backlogRetriedUntil_) backlogRetriedUntil_ = now + kBacklogRetryPeriod;
-  if (!isComplete && now < *backlogRetriedUntil_) {
+  if (!backlogRetryDeadline_) backlogRetryDeadline_ = now + kBacklogRetryPeriod;
+  if (!backlogEmpty && now < *backlogRetryDeadline_) {
     startTimer(shutdownTimer_.get(), kAcceptRetryDelay);
     return;
   }
   listener_.reset();
   stoppedAcceptingAt_ = dispatcher_.now();
   for (const auto& [session, owned] : sessions_)
-    // One that has just connected is owed a response, or the time for its first request.
+    // A client that has connected just now still gets a response, or the time to send its first request.
     if (session->active() && session->idle()) session->startLingeringClose();
   if (sessions_.empty()) {
     done_();
--- a/src/downstream/pg/client_listener.hpp
+++ b/src/downstream/pg/client_listener.hpp
@@ -1,4 +1,4 @@
-// Accepts client connections, within the limits on their number, until the graceful shutdown.
+// Accepts client connections up to the limits on their number, until the graceful shutdown.
 #pragma once
 
 #include <cstddef>
@@ -13,21 +13,21 @@
 
 namespace stonebay {
 
-/// Owns the client sessions. Where there is no room for a new one, a session that is being closed, has sent
-/// no request or is idle is evicted; otherwise new connections wait in the listener's backlog.
+/// Owns the client sessions. If there is no room for a new one, evicts a session that is being closed, has
+/// sent no request or is idle. If there is no such session, new connections wait in the listener's backlog.
 class ClientListener final : private ClientSessionOwner {
  public:
-  /// Listens at once. Throws std::runtime_error where that fails.
+  /// Starts listening. Throws std::runtime_error if that fails.
   ClientListener(event_base* base, Dispatcher& dispatcher, const Config& config);
   ~ClientListener();
   ClientListener(const ClientListener& other) = delete;
   ClientListener& operator=(const ClientListener& other) = delete;
 
-  /// Starts the graceful shutdown: for some time new connections are still served; then no more are accepted,
-  /// idle ones are closed, and what is in flight is finished. `done` is called when no connection is left, or
-  /// when the longest deadline has passed.
+  /// Starts the graceful shutdown. New connections are still accepted for some time. Then accepting stops,
+  /// idle sessions are closed and requests in flight are finished. Calls `done` when no session is left or,
+  /// at the latest, when the longest deadline and a grace period have passed since then.
   void drain(std::function<void()> done);
-  /// The port that it listens on.
+  /// The port of the listening socket.
   int port() const;
   std::size_t sessionCount() const { return sessions_.size(); }
 
@@ -46,20 +46,20 @@
   bool hasRoom();
   bool evictSession();
   void evictLongestIdle(const ClientSession& except);
-  void checkSessions();
+  void checkSessionTimeouts();
   void onShutdownTimer();
   void stopAccepting();
 
   const Config& config_;
   Dispatcher& dispatcher_;
   SessionContext context_;
-  std::size_t activeSessions_ = 0;  // those that have sent a request
+  std::size_t activeSessions_ = 0;  // sessions that have sent a request
   Listener listener_;
-  Event acceptTimer_;    // ends a pause of accepting
-  Event checkTimer_;     // for the timeouts of all sessions
-  Event shutdownTimer_;  // ends accepting, then the wait for the last sessions
+  Event acceptTimer_;        // resumes accepting after a pause
+  Event timeoutCheckTimer_;  // periodic, for the timeouts of all sessions
+  Event shutdownTimer_;      // stops accepting, then limits the wait for the last sessions
   bool draining_ = false;
-  std::optional<TimePoint> backlogRetriedUntil_;  // set by the first look at the backlog that failed
+  std::optional<TimePoint> backlogRetryDeadline_;  // set when accepting should stop for the first time
   std::optional<TimePoint> stoppedAcceptingAt_;
   std::function<void()> done_;
   std::unordered_map<ClientSession*, std::unique_ptr<ClientSession>> sessions_;
--- a/src/downstream/pg/client_session.cpp
+++ b/src/downstream/pg/client_session.cpp
@@ -9,10 +9,11 @@
 namespace stonebay {
 namespace {
 
-// A client that has not sent its first request by then, or not the rest of a message, is closed.
+// A session is closed if its first request or the rest of a message does not arrive within these times.
 constexpr Duration kFirstRequestTimeout = std::chrono::milliseconds(2000);
 constexpr Duration kIncompleteMessageTimeout = std::chrono::milliseconds(1500);
-// A new client is left so long to send its startup, however many others come.
+// A new client cannot be evicted within this time, so that it can send its startup message however many
+// others connect.
 constexpr Duration kMinStartupTime = std::chrono::milliseconds(25);
 constexpr Duration kLingerTimeout = std::chrono::milliseconds(500);
 constexpr std::size_t kMaxLingerBytes = 1 << 20;
@@ -26,15 +27,15 @@
       lastActiveAt_(context.dispatcher.now()) {}
 
 ClientSession::~ClientSession() {
-  if (request_ != 0) context_.dispatcher.onClientLeft(request_);
+  if (inFlightRequest_ != 0) context_.dispatcher.onClientLeft(inFlightRequest_);
   context_.cancelKeys.remove(cancelKey_);
-  releaseRequestId();
+  releaseClientRequestId();
   releaseMemory();
 }
 
 // ---- responses -------------------------------------------------------------------------------------------
 void ClientSession::onResponse(Buffer response) {
-  request_ = 0;
+  inFlightRequest_ = 0;
   evbuffer_add_buffer(connection_.output(), response.get());
   finishResponse();
 }
@@ -50,36 +51,37 @@
 }
 
 void ClientSession::cancelRequest() {
-  if (request_ == 0) return;
-  context_.dispatcher.onClientLeft(request_);
+  if (inFlightRequest_ == 0) return;
+  context_.dispatcher.onClientLeft(inFlightRequest_);
   failRequest(pg::errorResponse("ERROR", "57014", "canceled by its client"));
 }
 
 void ClientSession::failRequest(const std::string& errorResponse) {
-  request_ = 0;
+  inFlightRequest_ = 0;
   append(connection_.output(), errorResponse);
   finishResponse();
 }
 
 void ClientSession::finishResponse() {
-  releaseRequestId();
+  releaseClientRequestId();
   releaseMemory();
   lastActiveAt_ = context_.dispatcher.now();
-  incompleteSince_ = TimePoint();  // the input is looked at again
+  incompleteSince_ = TimePoint();  // restarts the timeout of input that is left
   append(connection_.output(), pg::readyForQuery());
   if (active_ && owner_.stoppedAcceptingAt() && idle()) {
     startLingeringClose();
   } else if (connection_.unread() > 0) {
-    connection_.scheduleRead();  // not at once: the dispatcher's batch, or this message, is not done yet
+    connection_.scheduleRead();  // deferred: the dispatcher's batch or this message is still being processed
   }
 }
 
-// A message that can't be read to its end ends the session. After any other error no message is taken before
-// the next periodic check: a client that repeats it at full speed would keep the loop from the others.
+// A fatal error closes the session, because the message is not read to its end. After any other error no
+// message is processed before the next periodic check, so that a client that repeats invalid messages at full
+// speed cannot block the event loop for other sessions.
 void ClientSession::rejectMessage(const ClientError& error) {
   const bool fatal = error.severity == Severity::Fatal;
   append(connection_.output(), pg::errorResponse(fatal ? "FATAL" : "ERROR", error.code, error.text));
-  paused_ = true;
+  processingPaused_ = true;
   if (!fatal) {
     finishResponse();
     return;
@@ -91,32 +93,32 @@
   discardInput();
 }
 
-void ClientSession::releaseRequestId() {
-  if (!requestId_.empty()) context_.openRequestIds.erase(requestId_);
-  requestId_.clear();
+void ClientSession::releaseClientRequestId() {
+  if (!clientRequestId_.empty()) context_.inFlightRequestIds.erase(clientRequestId_);
+  clientRequestId_.clear();
 }
 
-// A message longer than what is read ahead takes its part of the memory that all such may have, from its head
-// to its response.
+// Reserves memory for a message longer than kReadAhead, from its header until its response. Returns false if
+// the limit on the memory of all such messages is reached.
 bool ClientSession::reserveMemory(std::size_t messageLength) {
-  if (messageLength <= ClientConnection::kReadAhead || reserved_ > 0) return true;
+  if (messageLength <= ClientConnection::kReadAhead || reservedBytes_ > 0) return true;
   if (!context_.statementMemory.reserve(messageLength)) return false;
-  reserved_ = messageLength;
+  reservedBytes_ = messageLength;
   connection_.setInputLimit(messageLength);
   return true;
 }
 
 void ClientSession::releaseMemory() {
-  if (reserved_ == 0) return;
-  context_.statementMemory.release(reserved_);
-  reserved_ = 0;
+  if (reservedBytes_ == 0) return;
+  context_.statementMemory.release(reservedBytes_);
+  reservedBytes_ = 0;
   connection_.setInputLimit(ClientConnection::kReadAhead);
 }
 
 // ---- state -----------------------------------------------------------------------------------------------
 EvictionPriority ClientSession::evictionPriority(TimePoint now) const {
   if (closing()) return EvictionPriority::Closing;
-  if (request_ != 0) return EvictionPriority::Never;
+  if (inFlightRequest_ != 0) return EvictionPriority::Never;
   if (!active_)
     return now - lastActiveAt_ >= kMinStartupTime ? EvictionPriority::NeverActive : EvictionPriority::Never;
   const bool buffersEmpty = connection_.unread() == 0 && connection_.unsent() == 0;
@@ -131,20 +133,19 @@
   if (connection_.unsent() == 0) onOutputFlushed();
 }
 
-// Clients that hold a place without sending requests are owed an end within 3 s.
+// Clients that occupy a connection without sending requests must be disconnected within 3 s.
 std::optional<CloseReason> ClientSession::checkTimeouts(TimePoint now) {
-  if (paused_ && !closing() && connection_.unread() > 0) connection_.scheduleRead();
-  paused_ = false;
+  if (processingPaused_ && !closing() && connection_.unread() > 0) connection_.scheduleRead();
+  processingPaused_ = false;
   if (closing())
     return now - lastActiveAt_ < kLingerTimeout ? std::nullopt : std::optional(CloseReason::Finished);
   if (!connection_.reading() && connection_.peerClosed()) return CloseReason::PeerClosed;
-  if (request_ != 0 || connection_.unsent() > 0) return std::nullopt;
+  if (inFlightRequest_ != 0 || connection_.unsent() > 0) return std::nullopt;
   const bool noRequest = !active_ && now - lastActiveAt_ >= kFirstRequestTimeout;
   const bool incomplete =
       incompleteSince_ != TimePoint() && now - incompleteSince_ >= kIncompleteMessageTimeout;
   if (!noRequest && !incomplete) return std::nullopt;
-  // The rest of a request may have arrived in this very moment: it is read before the session is judged
-  // again.
+  // The missing input may have arrived just now. It is read before the timeouts are checked again.
   if (connection_.reading() && connection_.hasPendingInput()) return std::nullopt;
   return noRequest ? CloseReason::NoRequest : CloseReason::IncompleteMessage;
 }
@@ -154,7 +155,7 @@
   if (closing())
     connection_.closeOutput();
   else
-    onReadable();  // input that was left while the client did not read its responses
+    onReadable();  // processes input that was left while too much output was unsent
 }
 
 void ClientSession::onReadable() {
@@ -167,8 +168,8 @@
     owner_.onSessionClosed(*this, CloseReason::PeerClosed);
     return;
   }
-  // Each call takes one message, or leaves it until the rest has arrived.
-  while (canTakeMessage() && (state_ == State::Startup ? takeStartup() : takeMessage()))
+  // Each call processes one message, or leaves it in the input until the rest has arrived.
+  while (canProcessMessage() && (state_ == State::Startup ? processStartupMessage() : processMessage()))
     incompleteSince_ = TimePoint();
   if (closing()) return;
   if (incompleteSince_ == TimePoint() && connection_.unread() > 0)
@@ -177,13 +178,13 @@
 }
 
 void ClientSession::discardInput() {
-  discarded_ += connection_.discardInput();
-  if (discarded_ > kMaxLingerBytes) owner_.onSessionClosed(*this, CloseReason::TooMuchInput);
+  discardedBytes_ += connection_.discardInput();
+  if (discardedBytes_ > kMaxLingerBytes) owner_.onSessionClosed(*this, CloseReason::TooMuchInput);
 }
 
 // ---- startup ---------------------------------------------------------------------------------------------
-// False: nothing more can be taken now.
-bool ClientSession::takeStartup() {
+// Returns false if no more input can be processed now.
+bool ClientSession::processStartupMessage() {
   char start[pg::kCancelRequestSize] = {};
   const std::size_t available = std::min(connection_.unread(), sizeof start);
   evbuffer_copyout(connection_.input(), start, available);
@@ -203,7 +204,7 @@
       handleCancelRequest(message.cancelKey);
       return false;
     case StartupMessage::Kind::Startup:
-      greet();
+      completeStartup();
       return true;
     case StartupMessage::Kind::UnsupportedVersion:
       rejectMessage({Severity::Fatal, "0A000", "only version 3 of the protocol is spoken here"});
@@ -212,15 +213,15 @@
   return false;
 }
 
-void ClientSession::greet() {
+void ClientSession::completeStartup() {
   cancelKey_ = context_.cancelKeys.add(*this);
-  append(connection_.output(), pg::greeting(cancelKey_.process, cancelKey_.secret));
+  append(connection_.output(), pg::greeting(cancelKey_.processId, cancelKey_.secret));
   state_ = State::Ready;
   connection_.restartWriteTimeout();
   if (connection_.unread() > 0) connection_.scheduleRead();
 }
 
-// The connection of a CancelRequest gets no response, whether or not it names a session.
+// A CancelRequest gets no response on its own connection, whether or not its key belongs to a session.
 void ClientSession::handleCancelRequest(const std::optional<CancelKey>& key) {
   ClientSession* const session = key ? context_.cancelKeys.find(*key) : nullptr;
   if (session) session->cancelRequest();
@@ -228,21 +229,21 @@
 }
 
 // ---- queries ---------------------------------------------------------------------------------------------
-// False: nothing more can be taken now.
-bool ClientSession::takeMessage() {
+// Returns false if no more input can be processed now.
+bool ClientSession::processMessage() {
   char bytes[pg::kMessageHeaderSize];
   if (evbuffer_copyout(connection_.input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes))
     return false;
-  const auto head = pg::parseMessageHeader(bytes);
-  if (!head) {
+  const auto header = pg::parseMessageHeader(bytes);
+  if (!header) {
     rejectMessage({Severity::Fatal, "08P01", "a message's length is out of range"});
     return false;
   }
-  if (head->type != 'Q' && head->type != 'X') {
+  if (header->type != 'Q' && header->type != 'X') {
     rejectMessage({Severity::Fatal, "0A000", "only simple queries are spoken here"});
     return false;
   }
-  const std::size_t length = pg::kMessageHeaderSize + head->bodySize;
+  const std::size_t length = pg::kMessageHeaderSize + header->bodySize;
   if (!reserveMemory(length)) {
     rejectMessage({Severity::Fatal, "53200", "too many long statements at once"});
     return false;
@@ -252,12 +253,12 @@
   arrivals_.consume(length);
   if (!active_) owner_.onFirstRequest(*this);
   active_ = true;
-  if (head->type == 'X') {
+  if (header->type == 'X') {
     startLingeringClose();
     return false;
   }
   Buffer body = newBuffer();
-  evbuffer_remove_buffer(connection_.input(), body.get(), head->bodySize);
+  evbuffer_remove_buffer(connection_.input(), body.get(), header->bodySize);
   handleStatement(std::move(body));
   return true;
 }
@@ -273,8 +274,9 @@
     finishResponse();
     return;
   }
-  // Endpoints know a request by its id, which stands for one final response.
-  if (context_.openRequestIds.count(statement.id()) > 0) {
+  // Endpoints identify a request by this id, and each id gets one final response, so two requests in flight
+  // must not share one.
+  if (context_.inFlightRequestIds.count(statement.id()) > 0) {
     rejectMessage({Severity::Error, "42710", "this id is that of an open request"});
     return;
   }
@@ -287,9 +289,9 @@
 }
 
 void ClientSession::submit(ClientStatement& statement, int classIndex) {
-  const TimePoint arrivedAt = arrivals_.ofLastConsumed();
-  // A connection can't be closed amid requests: what keeps coming during a graceful shutdown is rejected, for
-  // its client to come back to another proxy.
+  const TimePoint arrivedAt = arrivals_.arrivalOfLastConsumedByte();
+  // The session cannot be closed while its client keeps sending requests. Requests that arrive after
+  // accepting has stopped are rejected with a Retry-After, so that the client repeats them at another proxy.
   const std::optional<TimePoint> stoppedAcceptingAt = owner_.stoppedAcceptingAt();
   if (stoppedAcceptingAt && arrivedAt > *stoppedAcceptingAt) {
     onRejected(std::chrono::milliseconds(1));
@@ -297,9 +299,9 @@
   }
   const Request request =
       statement.toRequest(context_.config, classIndex, arrivedAt, context_.dispatcher.unixNow());
-  requestId_ = statement.id();
-  context_.openRequestIds.insert(requestId_);
-  request_ = context_.dispatcher.submit(*this, request, statement.takeForwarded());
+  clientRequestId_ = statement.id();
+  context_.inFlightRequestIds.insert(clientRequestId_);
+  inFlightRequest_ = context_.dispatcher.submit(*this, request, statement.takeForwardedRequest());
 }
 
 }  // namespace stonebay
--- a/src/downstream/pg/client_session.hpp
+++ b/src/downstream/pg/client_session.hpp
@@ -1,4 +1,4 @@
-// One client connection: the startup, queries one at a time, responses in order, and the close.
+// One client connection: performs the startup, processes queries one at a time and responds to them in order.
 #pragma once
 
 #include <cstddef>
@@ -16,36 +16,37 @@
 
 /// Why a session is closed.
 enum class CloseReason {
-  Disconnected,       ///< by the client, or its connection broke
-  Finished,           ///< its output has gone out and the client's end or the time for it has come
-  NoRequest,          ///< no first request within the time for it
-  IncompleteMessage,  ///< the rest of a message did not come in time
-  PeerClosed,         ///< the client's end stands behind input that is not taken
-  TooMuchInput,       ///< it kept sending while it was being closed
-  Evicted,            ///< for a client that needed the place
+  Disconnected,       ///< the client closed the connection, or it failed or timed out
+  Finished,           ///< closed by the proxy: the linger timeout has passed
+  NoRequest,          ///< the client sent no request within the timeout for the first one
+  IncompleteMessage,  ///< the rest of a message did not arrive in time
+  PeerClosed,         ///< the client closed its end while reading was paused
+  TooMuchInput,       ///< the client kept sending while the session was being closed
+  Evicted,            ///< closed to make room for another client
 };
 
-/// Owns sessions and is notified of what concerns the others.
+/// Owns the sessions and receives their events.
 class ClientSessionOwner {
  public:
-  /// Destroys the session.
+  /// The session has to be closed. Destroys it.
   virtual void onSessionClosed(ClientSession& session, CloseReason reason) = 0;
-  /// It has sent its first request; until then it is not active.
+  /// The client has sent its first request. The session is active from then on.
   virtual void onFirstRequest(ClientSession& session) = 0;
-  /// When the graceful shutdown stopped to accept connections; nothing before.
+  /// When the graceful shutdown stopped accepting connections; std::nullopt before that.
   virtual std::optional<TimePoint> stoppedAcceptingAt() const = 0;
 
  protected:
   ~ClientSessionOwner() = default;
 };
 
-/// How readily a session gives up its place to a new client, in ascending order.
+/// To make room for a new client, the session with the highest priority is evicted first. Never: not evicted.
 enum class EvictionPriority { Never, Idle, NeverActive, Closing };
 
-/// Takes one request at a time; what is pipelined behind it waits in the input, which is bounded.
+/// Processes one request at a time. Requests that are pipelined behind it wait in the input, which is
+/// bounded.
 class ClientSession final : public ResponseHandler, private ClientConnectionHandler {
  public:
-  /// Takes the descriptor of an accepted connection.
+  /// Takes ownership of the descriptor of an accepted connection.
   ClientSession(SessionContext& context, ClientSessionOwner& owner, evutil_socket_t fd);
   ~ClientSession() override;
   ClientSession(const ClientSession& other) = delete;
@@ -56,28 +57,29 @@
   void onFailed() override;
   bool clientHasLeft() const override { return connection_.peerClosed(); }
 
-  /// Whether it has sent a request.
+  /// Whether the client has sent a request.
   bool active() const { return active_; }
-  /// Whether it is between requests. A request that has reached this machine counts, even if it is still to
-  /// be read.
-  bool idle() const { return request_ == 0 && !closing() && !connection_.hasInput(); }
+  /// Whether the session is open and has neither a request in flight nor any input, including input that has
+  /// not been read from the socket yet.
+  bool idle() const { return inFlightRequest_ == 0 && !closing() && !connection_.hasInput(); }
   EvictionPriority evictionPriority(TimePoint now) const;
-  /// When its client connected, got its last response, or began to be closed.
+  /// The latest of these times: the client connected, a response was written, the lingering close started.
   TimePoint lastActiveAt() const { return lastActiveAt_; }
 
-  /// Takes nothing more. The connection is closed when all output has gone out and the client has closed its
-  /// end, or has had the time to: closing on unread input would reset the connection, and the output would be
-  /// lost.
+  /// Stops processing input. The connection is closed when all output has been sent and the client has closed
+  /// its end, or after a timeout. Closing it while there is unread input would reset it, and the client would
+  /// lose the output.
   void startLingeringClose();
-  /// Its client has cancelled the request that is in flight, if any.
+  /// Cancels the request in flight, if any, on behalf of its client.
   void cancelRequest();
-  /// Resumes what reading has been paused. Why the session has to be closed; nothing: it goes on.
+  /// Resumes processing if it was paused. Returns why the session has to be closed, or std::nullopt if it
+  /// stays open.
   std::optional<CloseReason> checkTimeouts(TimePoint now);
-  /// What its client calls the request that is in flight; empty: there is none.
-  const std::string& requestId() const { return requestId_; }
+  /// The id that the client gave to the request in flight; empty if there is none.
+  const std::string& clientRequestId() const { return clientRequestId_; }
 
  private:
-  // No message is taken while so much output waits.
+  // No message is processed while this many bytes of output or more are unsent.
   static constexpr std::size_t kMaxUnsentOutput = 16 << 10;
 
   enum class State { Startup, Ready, LingeringClose };
@@ -88,21 +90,22 @@
   void onOutputFlushed() override;
   void onDisconnected() override { owner_.onSessionClosed(*this, CloseReason::Disconnected); }
 
-  bool canTakeMessage() const {
-    return request_ == 0 && !closing() && !paused_ && connection_.unsent() < kMaxUnsentOutput;
+  bool canProcessMessage() const {
+    return inFlightRequest_ == 0 && !closing() && !processingPaused_ &&
+           connection_.unsent() < kMaxUnsentOutput;
   }
   void discardInput();
-  bool takeStartup();
-  void greet();
+  bool processStartupMessage();
+  void completeStartup();
   void handleCancelRequest(const std::optional<CancelKey>& key);
-  bool takeMessage();
+  bool processMessage();
   void handleStatement(Buffer body);
 
   void submit(ClientStatement& statement, int classIndex);
   void failRequest(const std::string& errorResponse);
   void rejectMessage(const ClientError& error);
   void finishResponse();
-  void releaseRequestId();
+  void releaseClientRequestId();
   bool reserveMemory(std::size_t messageLength);
   void releaseMemory();
 
@@ -111,15 +114,15 @@
   ClientConnection connection_;
   State state_ = State::Startup;
   bool active_ = false;
-  bool paused_ = false;       // no message is taken until the next periodic check
-  CancelKey cancelKey_;       // none before the startup
-  RequestId request_ = 0;     // in flight; 0: none
-  std::string requestId_;     // what the client calls it
-  std::size_t reserved_ = 0;  // of SessionContext::statementMemory
-  std::size_t discarded_ = 0;
+  bool processingPaused_ = false;   // no message is processed until the next checkTimeouts
+  CancelKey cancelKey_;             // set at the end of the startup
+  RequestId inFlightRequest_ = 0;   // 0 if there is none
+  std::string clientRequestId_;     // the id that the client gave to that request; empty if there is none
+  std::size_t reservedBytes_ = 0;   // from SessionContext::statementMemory
+  std::size_t discardedBytes_ = 0;  // input discarded while the session is being closed
   ArrivalTimes arrivals_;
   TimePoint lastActiveAt_{};
-  TimePoint incompleteSince_{};  // since when the input holds part of a message; 0: it does not
+  TimePoint incompleteSince_{};  // since when there is input that waits to be processed; 0 if there is none
 };
 
 }  // namespace stonebay
--- a/src/downstream/pg/client_statement.cpp
+++ b/src/downstream/pg/client_statement.cpp
@@ -7,30 +7,33 @@
 namespace stonebay {
 namespace {
 
-constexpr std::size_t kMaxKeyEnd = 256;  // the quoted key of a statement ends before
+// The quoted key of a statement must end within this length from its start.
+constexpr std::size_t kKeySearchBytes = 256;
 constexpr std::uint32_t kMaxDeadlineMs = 3600 * 1000;
-constexpr float kMinTokenAgeMs = 0.001F;  // 0 stands for no token
+constexpr float kMinTokenAgeMs = 0.001F;  // an age of 0 means that there is no token
 constexpr double kMicrosecondsPerMillisecond = 1e3;
-constexpr std::string_view kInsignificant = " \t\r\n;";
+constexpr std::string_view kInsignificantCharacters = " \t\r\n;";
 
 }  // namespace
 
 ClientStatement::ClientStatement(Buffer body)
     : body_(std::move(body)),
       length_(evbuffer_get_length(body_.get())),
-      tailLength_(std::min(length_, kMaxTail)) {
+      tailLength_(std::min(length_, kMaxTailBytes)) {
   evbuffer_ptr start;
   evbuffer_ptr_set(body_.get(), &start, length_ - tailLength_, EVBUFFER_PTR_SET);
   evbuffer_copyout_from(body_.get(), &start, tail_.data(), tailLength_);
 }
 
 std::optional<ClientError> ClientStatement::parse() {
-  // Endpoints close the connection on what they can't read: the only NUL has to be the last byte.
+  // The only NUL must be the last byte, because endpoints close the connection on a query that they cannot
+  // parse.
   const auto terminator = evbuffer_search(body_.get(), "", 1, nullptr);
   if (length_ == 0 || terminator.pos != static_cast<ev_ssize_t>(length_) - 1)
     return ClientError{Severity::Fatal, "08P01", "a query's end is not where its length says"};
   const std::string_view text = tail().substr(0, tailLength_ - 1);
-  empty_ = tailLength_ == length_ && text.find_first_not_of(kInsignificant) == std::string_view::npos;
+  empty_ =
+      tailLength_ == length_ && text.find_first_not_of(kInsignificantCharacters) == std::string_view::npos;
   if (empty_) return std::nullopt;
   comment_ = pg::parseStatementComment(text);
   if (comment_.error) return ClientError{Severity::Error, "42601", comment_.error};
@@ -58,21 +61,22 @@
     const double ageMs = nowMs - static_cast<double>(comment_.sessionTokenMs);
     request.sessionTokenAgeMs = std::max(kMinTokenAgeMs, static_cast<float>(ageMs));
   }
-  if (config.tracksSessions) request.session = session();
+  if (config.tracksSessions) request.session = sessionId();
   return request;
 }
 
-// A session is known by the key that its statements name; 0: there is none.
-std::uint64_t ClientStatement::session() const {
-  std::array<char, kMaxKeyEnd> start{};
+// Returns an id derived from the key in the statement, by which the requests of a session are recognized; 0
+// if the statement has no key.
+std::uint64_t ClientStatement::sessionId() const {
+  std::array<char, kKeySearchBytes> start{};
   const ev_ssize_t copied = evbuffer_copyout(body_.get(), start.data(), start.size());
   const auto length = static_cast<std::size_t>(std::max<ev_ssize_t>(copied, 0));
   const std::string_view key = pg::parseQuotedKey({start.data(), length});
   return key.empty() ? 0 : std::max<std::uint64_t>(fnv1a(key), 1);
 }
 
-// Where the comment has a deadline, the statement is cut around its digits.
-ForwardedRequest ClientStatement::takeForwarded() {
+// If the comment has a deadline, its digits are cut out of the statement.
+ForwardedRequest ClientStatement::takeForwardedRequest() {
   ForwardedRequest forwarded{newBuffer(), std::move(body_), id()};
   if (comment_.deadlineLength > 0) {
     const std::size_t before = length_ - tailLength_ + comment_.deadlineOffset;
--- a/src/downstream/pg/session_context.cpp
+++ b/src/downstream/pg/session_context.cpp
@@ -7,7 +7,7 @@
 CancelKey CancelKeys::add(ClientSession& session) {
   CancelKey key;
   evutil_secure_rng_get_bytes(&key.secret, sizeof key.secret);
-  key.process = ++lastProcess_;
+  key.processId = ++lastProcessId_;
   sessions_[key.encoded()] = &session;
   return key;
 }
@@ -18,8 +18,8 @@
 }
 
 bool StatementMemory::reserve(std::size_t bytes) {
-  if (bytes > capacity_ - reserved_) return false;
-  reserved_ += bytes;
+  if (bytes > capacity_ - reservedBytes_) return false;
+  reservedBytes_ += bytes;
   return true;
 }
 
--- a/src/downstream/pg/session_context.hpp
+++ b/src/downstream/pg/session_context.hpp
@@ -1,4 +1,4 @@
-// What the sessions of a listener share.
+// State that all sessions of a listener share.
 #pragma once
 
 #include <cstddef>
@@ -14,42 +14,42 @@
 
 class ClientSession;
 
-/// Finds the session that a CancelRequest names.
+/// Finds the session to which the key of a CancelRequest belongs.
 class CancelKeys {
  public:
-  /// A new key: a number that no session has yet, and a secret that can't be guessed.
+  /// Returns a new key: a number that no other session has, and a secret that cannot be guessed.
   CancelKey add(ClientSession& session);
   void remove(const CancelKey& key) { sessions_.erase(key.encoded()); }
-  /// Null: no session has this key.
+  /// Returns null if no session has this key.
   ClientSession* find(const CancelKey& key) const;
 
  private:
   std::unordered_map<std::uint64_t, ClientSession*> sessions_;
-  std::uint32_t lastProcess_ = 0;
+  std::uint32_t lastProcessId_ = 0;
 };
 
-/// Bounds the memory of all statements that are too long to be read ahead.
+/// Limits the total memory of statements longer than ClientConnection::kReadAhead.
 class StatementMemory {
  public:
   explicit StatementMemory(std::size_t capacity) : capacity_(capacity) {}
-  /// False, and without effect, where so many bytes are not left.
+  /// Returns false and reserves nothing if fewer bytes than that are left.
   bool reserve(std::size_t bytes);
-  /// Gives back what has been reserved.
-  void release(std::size_t bytes) { reserved_ -= bytes; }
+  /// Releases bytes that have been reserved.
+  void release(std::size_t bytes) { reservedBytes_ -= bytes; }
 
  private:
   const std::size_t capacity_;
-  std::size_t reserved_ = 0;
+  std::size_t reservedBytes_ = 0;
 };
 
-/// Belongs to the listener, and outlives its sessions.
+/// Owned by the listener; outlives its sessions.
 struct SessionContext {
   event_base* base;
   Dispatcher& dispatcher;
   const Config& config;
   StatementMemory statementMemory;
   CancelKeys cancelKeys{};
-  std::unordered_set<std::string> openRequestIds{};  ///< ids that clients gave to requests in flight
+  std::unordered_set<std::string> inFlightRequestIds{};  ///< ids that clients gave to the requests in flight
 };
 
 }  // namespace stonebay
--- a/src/downstream/pg/startup_message.cpp
+++ b/src/downstream/pg/startup_message.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::uint32_t kProtocolMajorVersion = 3;
-constexpr std::size_t kMinLength = 8;  // length and code
+constexpr std::size_t kMinLength = 8;  // length field and code
 
 }  // namespace
 
--- a/src/downstream/pg/startup_message.hpp
+++ b/src/downstream/pg/startup_message.hpp
@@ -1,4 +1,4 @@
-// What a client may send before its first query. Pure.
+// Parses the messages that a client may send before its first query. Pure functions: no sockets, no buffers.
 #pragma once
 
 #include <cstddef>
@@ -8,30 +8,30 @@
 
 namespace stonebay {
 
-/// The numbers of a BackendKeyData message, by which a client cancels the request on another connection.
+/// The key in a BackendKeyData message. A client sends it on another connection to cancel a request.
 struct CancelKey {
-  std::uint32_t process = 0;  ///< 0: none
+  std::uint32_t processId = 0;  ///< 0 if there is no key
   std::uint32_t secret = 0;
 
-  std::uint64_t encoded() const { return static_cast<std::uint64_t>(process) << 32 | secret; }
+  std::uint64_t encoded() const { return static_cast<std::uint64_t>(processId) << 32 | secret; }
 };
 
 struct StartupMessage {
   enum class Kind {
-    Incomplete,  ///< the rest has still to arrive
-    Malformed,   ///< its length is out of range
+    Incomplete,  ///< the rest has not arrived yet
+    Malformed,   ///< the length is out of range
     EncryptionRequest,
     CancelRequest,
     Startup,
     UnsupportedVersion,
   };
   Kind kind = Kind::Incomplete;
-  std::size_t length = 0;              ///< of the message; unless it is incomplete or malformed
-  std::optional<CancelKey> cancelKey;  ///< of a CancelRequest; nothing: it is malformed
+  std::size_t length = 0;              ///< of the message in bytes; 0 if it is incomplete or malformed
+  std::optional<CancelKey> cancelKey;  ///< of a CancelRequest; std::nullopt if that is malformed
 };
 
-/// `start` holds the input's first bytes, pg::kCancelRequestSize of them or all that there are; `available`
-/// is the number of all bytes of the input.
+/// `start` has the first pg::kCancelRequestSize bytes of the input, or all of them if there are fewer.
+/// `available` is the number of bytes of the whole input.
 StartupMessage parseStartupMessage(std::string_view start, std::size_t available);
 
 }  // namespace stonebay
--- a/src/upstream/pg/connection_pool.cpp
+++ b/src/upstream/pg/connection_pool.cpp
@@ -10,7 +10,8 @@
 
 constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(250);
 constexpr Duration kReconnectDelay = std::chrono::seconds(1);
-constexpr int kMaxHealthCheckConnections = 4;  // one health check gives up when it has lost so many
+// A health check fails after losing this many connections.
+constexpr int kMaxHealthCheckConnections = 4;
 
 AttemptResult resultOf(AttemptStatus status) {
   AttemptResult result;
@@ -36,10 +37,10 @@
 // ---- endpoints -------------------------------------------------------------------------------------------
 void ConnectionPool::updateEndpoint(EndpointId id, const Address& address, bool ready) {
   EndpointConnections& endpoint = connections_.at(id);
-  const bool moved = !address.none() && address != endpoint.address;
-  if (moved) endpoint.address = address;
+  const bool addressChanged = !address.none() && address != endpoint.address;
+  if (addressChanged) endpoint.address = address;
   endpoint.ready = ready;
-  if (moved || !ready) connections_.closeIdle(id);
+  if (addressChanged || !ready) connections_.closeIdle(id);
   connections_.maintainMinIdle(id, dispatcher_.now());
 }
 
@@ -73,16 +74,16 @@
   start(request);
 }
 
-// On an idle connection, or else when a new one is ready.
+// Assigns an idle connection to the request and writes it, or queues the request until a connection is ready.
 void ConnectionPool::start(UpstreamRequest& request) {
   startDeadlineTimer(request);
   EndpointConnections& endpoint = connections_.at(request.endpoint);
   if (UpstreamConnection* const connection = connections_.takeIdle(request.endpoint)) {
     connection->assign(request);
-    writeOrGiveBack(request);
+    writeIfAllowed(request);
     return;
   }
-  // Does not happen within the limits on clients, which leave room for all requests at once.
+  // Not expected: the limits on clients leave a server connection for every client request in flight.
   if (!connections_.makeRoom()) {
     logEvent(LogLevel::Warning, "server_connections_full", {{"max", config_.maxServerConnections}});
     failRequest(request, AttemptStatus::NotSent);
@@ -106,16 +107,16 @@
 
 void ConnectionPool::write(UpstreamRequest& request) { request.connection->writeRequest(dispatcher_.now()); }
 
-// Time may have passed since the attempt was decided.
-void ConnectionPool::writeOrGiveBack(UpstreamRequest& request) {
+// Checks again whether the attempt may be written, because time may have passed since it was decided.
+void ConnectionPool::writeIfAllowed(UpstreamRequest& request) {
   if (request.isHealthCheck() || dispatcher_.mayBeWritten(request.id))
     write(request);
   else
-    giveBack(request);
+    finishUnsent(request);
 }
 
-// The attempt does not go out; its connection is free for another one.
-void ConnectionPool::giveBack(UpstreamRequest& request) {
+// Ends an attempt that must not be written, and makes its connection available to other requests.
+void ConnectionPool::finishUnsent(UpstreamRequest& request) {
   UpstreamConnection& connection = *request.connection;
   connection.detach();
   finishAttempt(request, resultOf(AttemptStatus::NotSent));
@@ -128,14 +129,14 @@
   UpstreamRequest& request = *it->second;
   if (!request.connection || request.written) return;
   if (eligible)
-    writeOrGiveBack(request);
+    writeIfAllowed(request);
   else
-    giveBack(request);
+    finishUnsent(request);
 }
 
 void ConnectionPool::cancel(RequestId id, int attempt) {
   const auto it = attempts_.find({id, attempt});
-  if (it == attempts_.end()) return;  // its end has been reported already
+  if (it == attempts_.end()) return;  // its result has already been reported
   UpstreamRequest& request = *it->second;
   if (UpstreamConnection* const connection = request.connection) {
     connection->detach();
@@ -153,9 +154,9 @@
     connections_.close(*connection);
   }
   if (request.isHealthCheck()) {
-    // A health check is answered at once or not at all. Of a machine that is cut off the other idle
-    // connections are silent as well: an attempt on one of them would be lost until its deadline, and may
-    // have run; one that has to connect first fails soon, without having run.
+    // A reachable endpoint answers a health check immediately, so its machine is probably unreachable, and
+    // the other idle connections are dead as well. An attempt on one of them would get no response until its
+    // deadline, and might have run. An attempt that has to connect first fails early, without having run.
     connections_.closeIdle(request.endpoint);
     connections_.at(request.endpoint).connectAgainAt = dispatcher_.now() + kReconnectDelay;
   }
@@ -175,7 +176,8 @@
   attempts_.erase({request.id, request.attempt});
 }
 
-// An endpoint that has no report yet answers all the same, with an empty row: that is a response.
+// `report` may be empty for a successful health check: an endpoint without a load report yet sends an empty
+// row.
 void ConnectionPool::finishHealthCheck(UpstreamRequest& request, bool ok, std::string_view report) {
   const EndpointId endpoint = request.endpoint;
   connections_.at(endpoint).removeWaiting(request);
@@ -184,7 +186,8 @@
 }
 
 std::vector<double> ConnectionPool::parseReport(std::string_view report) const {
-  // The dispatcher judges positions that are ahead of this machine's clock, which may be wrong.
+  // This machine's clock may be behind by up to kMaxError, so positions up to that far ahead of it are
+  // accepted here. The dispatcher corrects or drops them.
   const TimePoint latest = dispatcher_.now() + WallClockCorrection::kMaxError;
   return parseLoadReport(report, config_.reportNames, config_.settings.reportFields, latest);
 }
@@ -197,7 +200,7 @@
 bool ConnectionPool::onReady(UpstreamConnection& connection) {
   const EndpointId id = connection.endpoint();
   EndpointConnections& endpoint = connections_.at(id);
-  if (connection.address() != endpoint.address) {  // the endpoint has moved meanwhile
+  if (connection.address() != endpoint.address) {  // the endpoint's address has changed meanwhile
     connections_.close(connection);
     if (endpoint.waiting.size() > endpoint.connecting) connections_.open(id);
     return false;
@@ -206,7 +209,9 @@
     UpstreamRequest& request = *endpoint.waiting.front();
     endpoint.waiting.pop_front();
     connection.assign(request);
-    // An attempt that had to wait is judged again: draining and the data's age count from the bytes sent.
+    // While the attempt waited, the endpoint may have started to drain, or its data may have become too old.
+    // The dispatcher checks that again, since the rules apply at the time of the write, and answers with
+    // resumeAttempt.
     if (request.isHealthCheck())
       write(request);
     else
@@ -251,7 +256,8 @@
     return;
   }
   if (request->isHealthCheck()) {
-    // The end of an idle connection is not that of its endpoint: the health check goes out on another one.
+    // A lost idle connection does not mean that the endpoint has failed: the health check is sent again on
+    // another connection.
     if (++request->lostConnections < kMaxHealthCheckConnections) {
       request->written = false;
       start(*request);
@@ -260,13 +266,14 @@
     }
     return;
   }
-  // A request that was written to its last byte may have run; before that it has not.
+  // A request can have run only if all of its bytes have been sent.
   const bool mayHaveRun = request->written && flushed;
   result.status = status == AttemptStatus::Reset && !mayHaveRun ? AttemptStatus::ConnectFailed : status;
   finishAttempt(*request, std::move(result));
 }
 
-// An attempt that was written may have run; a health check was answered, however badly: its endpoint lives.
+// An attempt that was written may have run. A health check succeeds: even a malformed response shows that the
+// endpoint is alive.
 void ConnectionPool::onMalformedResponse(UpstreamConnection& connection, ProtocolError error) {
   logEvent(LogLevel::Warning, "server_response_malformed", {{"reason", describe(error)}});
   EndpointConnections& endpoint = connections_.at(connection.endpoint());
@@ -286,7 +293,8 @@
   finishAttempt(*request, resultOf(mayHaveRun ? AttemptStatus::Error : AttemptStatus::NotSent));
 }
 
-// Fails the oldest waiting request, unless enough connections are still being opened.
+// Fails the oldest waiting request, unless enough connections for all waiting requests are still being
+// opened.
 void ConnectionPool::onConnectFailed(EndpointConnections& endpoint, AttemptStatus status) {
   endpoint.connectAgainAt = dispatcher_.now() + kReconnectDelay;
   if (endpoint.waiting.size() <= endpoint.connecting) return;
--- a/src/upstream/pg/connection_pool.hpp
+++ b/src/upstream/pg/connection_pool.hpp
@@ -1,4 +1,5 @@
-// Requests to endpoints: each attempt and health check gets a connection, a deadline and one reported end.
+// The pool of upstream connections. Runs each attempt and health check on a connection, with a deadline, and
+// reports its result exactly once.
 #pragma once
 
 #include <map>
@@ -16,10 +17,10 @@
 
 namespace stonebay {
 
-/// Carries out attempts and health checks, each on a connection of its own for as long as it lasts.
+/// Carries out attempts and health checks. A connection carries one of them at a time.
 ///
-/// An idle connection is used again; otherwise the request waits for a new one. Some idle connections are
-/// opened in advance for each endpoint that is ready.
+/// Idle connections are reused. If there is none, the request waits until a connection is ready. For each
+/// endpoint that is ready, some idle connections are opened in advance.
 class ConnectionPool final : public EndpointPool, private UpstreamConnectionHandler {
  public:
   ConnectionPool(event_base* base, Dispatcher& dispatcher, const Config& config);
@@ -51,8 +52,8 @@
   void start(UpstreamRequest& request);
   void startDeadlineTimer(UpstreamRequest& request);
   void write(UpstreamRequest& request);
-  void writeOrGiveBack(UpstreamRequest& request);
-  void giveBack(UpstreamRequest& request);
+  void writeIfAllowed(UpstreamRequest& request);
+  void finishUnsent(UpstreamRequest& request);
   void finishAttempt(UpstreamRequest& request, AttemptResult result);
   void finishHealthCheck(UpstreamRequest& request, bool ok, std::string_view report = {});
   void failRequest(UpstreamRequest& request, AttemptStatus status);
@@ -65,7 +66,7 @@
   const Config& config_;
   ConnectionSet connections_;
   std::map<AttemptKey, std::unique_ptr<UpstreamRequest>> attempts_;
-  std::unordered_map<EndpointId, std::unique_ptr<UpstreamRequest>> healthChecks_;  // one an endpoint at most
+  std::unordered_map<EndpointId, std::unique_ptr<UpstreamRequest>> healthChecks_;  // at most one per endpoint
   Event maintenanceTimer_;
 };
 
--- a/src/upstream/pg/connection_set.cpp
+++ b/src/upstream/pg/connection_set.cpp
@@ -7,14 +7,16 @@
 namespace stonebay {
 namespace {
 
-// Idle connections for each endpoint that is ready, so that neither health checks nor first requests wait for
-// a connect: the LoadBalancer takes a health check that is not answered within some ms for silence.
+// Idle connections to each endpoint that is ready, so that neither health checks nor first requests wait for
+// a connect. The LoadBalancer treats an endpoint as silent if it does not answer a health check within a few
+// milliseconds.
 constexpr std::size_t kMinIdleConnections = 2;
-// What all proxies together keep idle at one endpoint. Its connection table is limited, costs it more the
-// fuller it is, and once full rejects those with requests: each of many proxies connects on demand alone.
-constexpr std::size_t kMaxIdleOfAllProxies = 64;
-// The share that is used of the endpoint's own idle limit: a request that crosses the endpoint's close would
-// end as a reset.
+// Maximum of idle connections that all proxies together keep open to one endpoint. An endpoint's connection
+// table is limited, gets more expensive as it fills, and when full rejects connections that carry requests.
+// With more proxies than this, each proxy connects on demand only.
+constexpr std::size_t kMaxIdlePerEndpointAllProxies = 64;
+// Idle connections are closed after this share of the endpoint's own idle timeout. If the endpoint closed one
+// just as a request is sent on it, the attempt would end in a reset.
 constexpr double kIdleTimeoutShare = 0.7;
 
 void eraseValue(std::vector<UpstreamConnection*>& connections, const UpstreamConnection* value) {
@@ -22,13 +24,13 @@
 }
 
 Duration maxIdleTime(const Config& config) {
-  const auto limit = static_cast<double>(config.idleTimeout.count());
-  return Duration(static_cast<std::int64_t>(limit * kIdleTimeoutShare));
+  const auto idleTimeout = static_cast<double>(config.idleTimeout.count());
+  return Duration(static_cast<std::int64_t>(idleTimeout * kIdleTimeoutShare));
 }
 
 std::size_t minIdle(const Config& config) {
   const auto proxies = static_cast<std::size_t>(config.settings.proxyCount);
-  return std::min(kMinIdleConnections, kMaxIdleOfAllProxies / proxies);
+  return std::min(kMinIdleConnections, kMaxIdlePerEndpointAllProxies / proxies);
 }
 
 }  // namespace
@@ -73,7 +75,7 @@
 void ConnectionSet::close(UpstreamConnection& connection) {
   EndpointConnections& endpoint = at(connection.endpoint());
   if (connection.connecting()) --endpoint.connecting;
-  leaveIdle(connection);
+  removeFromIdleOrder(connection);
   eraseValue(endpoint.idle, &connection);
   eraseValue(endpoint.all, &connection);
   connections_.erase(&connection);
@@ -95,14 +97,14 @@
   while (!idle.empty()) {
     UpstreamConnection* const connection = idle.back();
     idle.pop_back();
-    leaveIdle(*connection);
-    if (connection->isClean()) return connection;
+    removeFromIdleOrder(*connection);
+    if (connection->isReusable()) return connection;
     close(*connection);
   }
   return nullptr;
 }
 
-void ConnectionSet::leaveIdle(UpstreamConnection& connection) {
+void ConnectionSet::removeFromIdleOrder(UpstreamConnection& connection) {
   IdleOrder::iterator& position = connections_.at(&connection).idlePosition;
   if (position == idleOrder_.end()) return;
   idleOrder_.erase(position);
@@ -112,8 +114,8 @@
 void ConnectionSet::maintainMinIdle(TimePoint now) {
   for (auto it = maintenanceQueue_.begin(); it != maintenanceQueue_.end() && mayOpenInAdvance();) {
     const auto endpoint = endpoints_.find(*it);
-    const bool isStillShort = endpoint != endpoints_.end() && openMissing(endpoint->second, *it, now);
-    it = isStillShort ? std::next(it) : maintenanceQueue_.erase(it);
+    const bool isStillBelowTarget = endpoint != endpoints_.end() && openMissing(endpoint->second, *it, now);
+    it = isStillBelowTarget ? std::next(it) : maintenanceQueue_.erase(it);
   }
 }
 
@@ -124,11 +126,11 @@
 bool ConnectionSet::openMissing(EndpointConnections& endpoint, EndpointId id, TimePoint now) {
   ++endpointsVisited_;
   if (!endpoint.ready) return false;
-  const std::size_t wanted = minIdle_ + endpoint.waiting.size();
-  const auto isShort = [&] { return endpoint.idle.size() + endpoint.connecting < wanted; };
+  const std::size_t target = minIdle_ + endpoint.waiting.size();
+  const auto isBelowTarget = [&] { return endpoint.idle.size() + endpoint.connecting < target; };
   if (now >= endpoint.connectAgainAt)
-    while (isShort() && mayOpenInAdvance()) open(endpoint, id);
-  return isShort();
+    while (isBelowTarget() && mayOpenInAdvance()) open(endpoint, id);
+  return isBelowTarget();
 }
 
 bool ConnectionSet::makeRoom() {
--- a/src/upstream/pg/connection_set.hpp
+++ b/src/upstream/pg/connection_set.hpp
@@ -1,4 +1,5 @@
-// The connections to all endpoints, up to the limit on their number: which are open, connecting and idle.
+// The connections to all endpoints, with a limit on their total number, and which of them are connecting or
+// idle.
 #pragma once
 
 #include <cstddef>
@@ -16,61 +17,65 @@
 
 namespace stonebay {
 
-/// What the proxy has at one endpoint.
+/// The connections to one endpoint and the requests that wait for one.
 struct EndpointConnections {
   Address address;
-  bool ready = false;                     ///< may be sent requests
-  std::vector<UpstreamConnection*> all;   ///< open and connecting, in no order
-  std::vector<UpstreamConnection*> idle;  ///< the most recently used is the last
-  std::deque<UpstreamRequest*> waiting;   ///< for a connection
-  std::size_t connecting = 0;
-  TimePoint connectAgainAt{};  ///< no connection is opened in advance before then
+  bool ready = false;                     ///< whether it may get new requests
+  std::vector<UpstreamConnection*> all;   ///< open and connecting, unordered
+  std::vector<UpstreamConnection*> idle;  ///< least recently used first
+  std::deque<UpstreamRequest*> waiting;   ///< requests that wait for a connection, oldest first
+  std::size_t connecting = 0;             ///< number of connections whose startup is not complete
+  TimePoint connectAgainAt{};             ///< no connection is opened in advance before this time
 
-  /// Ends the wait of a request, if it waits.
+  /// Removes a request from `waiting` if it is there.
   void removeWaiting(const UpstreamRequest& request);
 };
 
-/// Owns the connections and keeps the records of their endpoints.
+/// Owns the connections, and one EndpointConnections record per endpoint.
 class ConnectionSet {
  public:
   ConnectionSet(event_base* base, UpstreamConnectionHandler& handler, const Config& config);
 
-  /// The record of an endpoint, which is made where there is none. The reference is valid until
-  /// removeEndpoint. The next maintainMinIdle looks at the endpoint: its record may be changed.
+  /// Returns the record of an endpoint, and creates it if there is none. The reference is valid until
+  /// removeEndpoint. The caller may change the record, so the next maintainMinIdle visits the endpoint.
   EndpointConnections& at(EndpointId id);
-  /// Of the connections to all endpoints.
+  /// Number of connections to all endpoints.
   std::size_t count() const { return connections_.size(); }
-  /// Closes its connections.
+  /// Closes the endpoint's connections and removes its record.
   void removeEndpoint(EndpointId id);
 
   void open(EndpointId id);
   void close(UpstreamConnection& connection);
   void closeIdle(EndpointId id);
-  /// Keeps a connection for the next request, until its idle timer ends it.
+  /// Marks a connection as idle. It is reused by the next request, or reported as lost by its idle timer.
   void addIdle(UpstreamConnection& connection);
-  /// Takes out the most recently used idle connection that can still be used; null: there is none.
+  /// Returns the most recently used idle connection that is still reusable, and removes it from the idle
+  /// ones. Returns null if there is none.
   UpstreamConnection* takeIdle(EndpointId id);
-  /// Opens connections in advance, so that each endpoint that is ready has some idle ones. Looks only at
-  /// those endpoints whose record may have changed, and at those that are still short of connections.
+  /// Opens connections in advance, so that each endpoint that is ready has the minimum of idle ones. Visits
+  /// only endpoints whose record may have changed since the last call or that still have too few connections.
   void maintainMinIdle(TimePoint now);
-  /// The same for one endpoint.
+  /// Does the same for one endpoint.
   void maintainMinIdle(EndpointId id, TimePoint now);
-  /// Closes the connection that has been idle for longest if the limit is reached. False: there is none.
+  /// If the limit on connections is reached, closes the connection that has been idle longest. Returns false
+  /// if the limit is reached and no connection is idle.
   bool makeRoom();
-  /// How many endpoints maintainMinIdle has looked at so far.
+  /// Number of endpoints that maintainMinIdle has visited so far, for tests.
   std::uint64_t endpointsVisited() const { return endpointsVisited_; }
 
  private:
   using IdleOrder = std::list<UpstreamConnection*>;
   struct OwnedConnection {
     std::unique_ptr<UpstreamConnection> connection;
-    IdleOrder::iterator idlePosition;  // the end: it is not idle
+    IdleOrder::iterator idlePosition;  // idleOrder_.end() if it is not idle
   };
 
   void open(EndpointConnections& endpoint, EndpointId id);
-  void leaveIdle(UpstreamConnection& connection);
-  /// Whether it may need connections later, when its time has come or others have made room.
+  void removeFromIdleOrder(UpstreamConnection& connection);
+  /// Opens the connections that a ready endpoint lacks. Returns whether it still lacks some, because it is
+  /// before connectAgainAt or the limit on connections opened in advance is reached.
   bool openMissing(EndpointConnections& endpoint, EndpointId id, TimePoint now);
+  /// Half of the limit is left for connections that are opened on demand.
   bool mayOpenInAdvance() const { return connections_.size() < maxConnections_ / 2; }
 
   event_base* const base_;
@@ -81,8 +86,8 @@
   const std::size_t minIdle_;  // for each endpoint that is ready
   std::unordered_map<EndpointId, EndpointConnections> endpoints_;
   std::unordered_map<UpstreamConnection*, OwnedConnection> connections_;
-  IdleOrder idleOrder_;                              // of all endpoints, the longest idle first
-  std::unordered_set<EndpointId> maintenanceQueue_;  // endpoints that may be short of connections
+  IdleOrder idleOrder_;                              // idle connections of all endpoints, longest idle first
+  std::unordered_set<EndpointId> maintenanceQueue_;  // endpoints that may have too few connections
   std::uint64_t endpointsVisited_ = 0;
 };
 
--- a/src/upstream/pg/load_report.cpp
+++ b/src/upstream/pg/load_report.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kMaxPlausibleInFlight = 100000;
-constexpr double kMaxClockSkewSeconds = 1;
+constexpr double kMaxClockSkewSeconds = 1;  // of a position ahead of `now`
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 std::optional<double> parseNumber(std::string_view text) {
@@ -20,7 +20,8 @@
   return value;
 }
 
-// The value of the first "name=value" item with this name.
+// Returns the value of the first "name=value" item with this name, or std::nullopt if there is none or its
+// value is not a number.
 std::optional<double> findValue(std::string_view report, std::string_view name) {
   std::size_t start = 0;
   while (start < report.size()) {
--- a/src/upstream/pg/response_parser.cpp
+++ b/src/upstream/pg/response_parser.cpp
@@ -5,7 +5,8 @@
 namespace stonebay {
 namespace {
 
-// PostgreSQL error codes (SQLSTATE), appendix A of its documentation, and those that endpoints add.
+// SQLSTATE codes and classes: those of appendix A of the PostgreSQL documentation, and those that endpoints
+// add.
 constexpr std::string_view kTooManyConnections = "53300";
 constexpr std::string_view kReadOnlyTransaction = "25006";
 constexpr std::string_view kSnapshotTooOld = "72000";
@@ -16,7 +17,7 @@
 
 constexpr std::string_view kTransactionStates = "ITE";
 
-bool isStatementsFault(std::string_view code) {
+bool isInvalidStatementError(std::string_view code) {
   const std::string_view errorClass = code.substr(0, kClassLength);
   return errorClass == kSyntaxErrorClass || errorClass == kDataExceptionClass || code == kProtocolViolation;
 }
@@ -27,7 +28,7 @@
   return Role::Unknown;
 }
 
-// 0 where the text is no number.
+// Returns 0 if the text is not a number.
 std::int64_t parsePosition(std::string_view text) {
   std::int64_t value = 0;
   const char* const end = text.data() + text.size();
@@ -67,10 +68,10 @@
   response_ = ServerResponse();
 }
 
-bool ResponseParser::accepts(const pg::MessageHeader& head) const {
+bool ResponseParser::accepts(const pg::MessageHeader& header) const {
   const std::size_t maxBody =
-      head.type == 'D' ? pg::kRowHeaderSize + pg::kMaxValueSize : pg::kMaxServerMessageSize;
-  return expects(head.type) && head.bodySize <= maxBody;
+      header.type == 'D' ? pg::kRowHeaderSize + pg::kMaxValueSize : pg::kMaxServerMessageSize;
+  return expects(header.type) && header.bodySize <= maxBody;
 }
 
 bool ResponseParser::expects(char type) const {
@@ -112,13 +113,13 @@
       return onCommandComplete(body);
     case 'Z':
       return onReadyForQuery(body);
-    default:  // NoticeResponse, BackendKeyData
+    default:  // NoticeResponse and BackendKeyData are ignored
       return ParseStatus::Continue;
   }
 }
 
-bool ResponseParser::parseRowHead(const char (&columns)[pg::kRowHeaderSize], std::size_t bodyLength) {
-  if (!pg::isRowHeader(columns, bodyLength)) return false;
+bool ResponseParser::parseRowHeader(const char (&rowHeader)[pg::kRowHeaderSize], std::size_t bodyLength) {
+  if (!pg::isRowHeader(rowHeader, bodyLength)) return false;
   stage_ = Stage::Row;
   return true;
 }
@@ -142,7 +143,7 @@
   response_.status = statusOfError(error.code);
   response_.errorCode = error.code;
   response_.errorText = error.text;
-  response_.invalidStatement = isStatementsFault(error.code);
+  response_.invalidStatement = isInvalidStatementError(error.code);
   statusIfLost_ = response_.status;
   return startup_ || error.severity == "FATAL" ? ParseStatus::Fatal : ParseStatus::Continue;
 }
@@ -168,7 +169,7 @@
   return ParseStatus::Continue;
 }
 
-// A row that is no single column leaves the health check without a report.
+// If the row does not have exactly one column with a value, healthCheckReport stays empty.
 ParseStatus ResponseParser::onDataRow(std::string_view body) {
   if (const auto column = pg::parseSingleColumn(body)) response_.healthCheckReport = std::string(*column);
   stage_ = Stage::Row;
--- a/src/upstream/pg/response_parser.hpp
+++ b/src/upstream/pg/response_parser.hpp
@@ -1,5 +1,5 @@
-// The state machine of what an endpoint sends on one connection: the answer to the startup message, then one
-// response a query. Pure: no sockets, no timers, no log.
+// State machine for the messages that an endpoint sends on one connection: the response to the startup
+// message, then one response per query. Uses no sockets, no timers and no log.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace stonebay {
 
-/// Why an endpoint's bytes can't be the response that is due.
+/// Why the data that an endpoint sent is not a valid response.
 enum class ProtocolError {
   UnsolicitedData,
   UnexpectedMessage,
@@ -26,50 +26,51 @@
   IncompleteResponse,
 };
 
-/// For the log.
+/// Returns the text of an error for the log.
 const char* describe(ProtocolError error);
 
-/// What a response says besides the rows that go on to the client.
+/// The information in a response other than the messages that are forwarded to the client.
 struct ServerResponse {
   AttemptStatus status = AttemptStatus::Ok;
-  std::string errorCode;  ///< SQLSTATE of its ErrorResponse; empty: there was none
+  std::string errorCode;  ///< SQLSTATE of the ErrorResponse; empty if there was none
   std::string errorText;
-  bool invalidStatement = false;                 ///< the error is the statement's own: syntax, data, protocol
-  Role role = Role::Unknown;                     ///< ParameterStatus "role"
-  std::int64_t positionMs = 0;                   ///< ParameterStatus "applied_ms", Unix time; 0: not reported
-  std::string loadReport;                        ///< ParameterStatus "load"; empty: not reported
-  std::optional<std::string> healthCheckReport;  ///< the row that answers a health check
+  bool invalidStatement = false;  ///< the statement caused the error: syntax, data or protocol
+  Role role = Role::Unknown;      ///< ParameterStatus "role"
+  std::int64_t positionMs = 0;    ///< ParameterStatus "applied_ms", Unix time in ms; 0 if not reported
+  std::string loadReport;         ///< ParameterStatus "load"; empty if not reported
+  std::optional<std::string> healthCheckReport;  ///< value of the row in the response to a health check
 };
 
-/// What has to be done after a message.
+/// What the caller has to do after a message.
 enum class ParseStatus {
   Continue,
-  Ready,                   ///< ReadyForQuery: the startup or the response is complete
-  Malformed,               ///< see ResponseParser::protocolError
-  AuthenticationRequired,  ///< the endpoint wants a password: the connection is of no use
+  Ready,                   ///< ReadyForQuery has been parsed: the startup or the response is complete
+  Malformed,               ///< ResponseParser::protocolError() has the cause
+  AuthenticationRequired,  ///< the endpoint requires a password, so the connection cannot be used
   Fatal,                   ///< the endpoint closes the connection after this error
 };
 
-/// Parses messages one by one. A response is RowDescription, one DataRow and CommandComplete, or an
-/// ErrorResponse at any point before CommandComplete; then ReadyForQuery. ParameterStatus and NoticeResponse
-/// may come between any two of them.
+/// Parses messages one by one. A response consists of RowDescription, one DataRow, CommandComplete and
+/// ReadyForQuery. An ErrorResponse may come at any point before CommandComplete and is followed by
+/// ReadyForQuery. ParameterStatus and NoticeResponse may come between any two messages.
 class ResponseParser {
  public:
   /// Resets the state for the response to a query that is about to be sent.
   void beginResponse(bool healthCheck);
 
-  /// Whether a message with this head may come next. To be asked before the body has been read: a head may
-  /// promise gigabytes.
-  bool accepts(const pg::MessageHeader& head) const;
-  /// Parses a message that is accepted.
+  /// Whether a message with this type and length may come next. Must be checked before the body is read,
+  /// because the header may announce gigabytes.
+  bool accepts(const pg::MessageHeader& header) const;
+  /// Parses a message whose header has been accepted.
   ParseStatus parse(char type, std::string_view body);
-  /// In place of parse for the row of a statement's response, which is passed on unread. False: malformed.
-  bool parseRowHead(const char (&columns)[pg::kRowHeaderSize], std::size_t bodyLength);
+  /// Replaces parse() for the row of a statement's response, whose value is forwarded without being parsed.
+  /// Returns false if the header is malformed.
+  bool parseRowHeader(const char (&rowHeader)[pg::kRowHeaderSize], std::size_t bodyLength);
 
   bool inStartup() const { return startup_; }
-  /// Whether some message of the response that is due has been parsed.
+  /// Whether a message of the current response has been parsed.
   bool responseStarted() const { return stage_ != Stage::Start; }
-  /// How an attempt ends if the connection is lost now.
+  /// The status of an attempt if its connection is lost now.
   AttemptStatus statusIfLost() const { return statusIfLost_; }
   const ServerResponse& response() const { return response_; }
   /// The cause of the last ParseStatus::Malformed.
--- a/src/upstream/pg/upstream_connection.cpp
+++ b/src/upstream/pg/upstream_connection.cpp
@@ -15,10 +15,11 @@
 constexpr std::string_view kUser = "api";
 constexpr std::string_view kDatabase = "ledger";
 constexpr std::string_view kHealthCheckStatement = "SHOW load";
-// An endpoint writes a response in one go. Once its first byte has arrived the rest is due: a length may
-// promise more than ever comes.
+// Time from the first byte of a response to its end. An endpoint writes a response in one piece, so a longer
+// wait means that a message is shorter than its length field says.
 constexpr Duration kResponseTimeout = std::chrono::milliseconds(250);
-// internal_error, the endpoint's own fault: not logged here, since the log of the request shows the attempt.
+// SQLSTATE internal_error: a failure of the endpoint itself. It is not logged here, because the log line of
+// the request shows the attempt.
 constexpr std::string_view kInternalError = "XX000";
 
 }  // namespace
@@ -37,7 +38,8 @@
   bufferevent_enable(bev_.get(), EV_READ | EV_WRITE);
   const int result =
       bufferevent_socket_connect(bev_.get(), address_.data(), static_cast<int>(address_.size()));
-  // A connect that fails at once is reported by the timer: this call's own caller is not done yet.
+  // A connect that fails immediately is reported by the timer, so that the handler is not called before this
+  // constructor has returned.
   startTimer(timer_.get(), result == 0 ? connectTimeout : Duration(0));
   bufferevent_setcb(
       bev_.get(), [](bufferevent*, void* self) { static_cast<UpstreamConnection*>(self)->onReadable(); },
@@ -47,14 +49,14 @@
 }
 
 UpstreamConnection::~UpstreamConnection() {
-  // bufferevent_free closes the descriptor only in the loop's next pass; the endpoint has to see the end of
-  // an attempt before the next one goes out.
+  // bufferevent_free closes the descriptor only in the next pass of the event loop, but the endpoint has to
+  // see the end of an attempt before the next attempt is sent.
   const evutil_socket_t fd = bufferevent_getfd(bev_.get());
   if (fd >= 0) shutdown(fd, SHUT_RDWR);
 }
 
-// The peek sees what libevent has not read yet, and the end of the connection as well.
-bool UpstreamConnection::isClean() const {
+// The peek detects data that libevent has not read yet, and also that the endpoint has closed the connection.
+bool UpstreamConnection::isReusable() const {
   if (evbuffer_get_length(input()) > 0) return false;
   char byte = 0;
   const ssize_t peeked = recv(bufferevent_getfd(bev_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -82,7 +84,7 @@
     append(output(), pg::query(kHealthCheckStatement));
     return;
   }
-  // The statement is passed on by reference, with its deadline replaced by the time that is left.
+  // The statement is added by reference, without a copy, and its deadline is replaced by the remaining time.
   const ForwardedRequest& message = *request_->message;
   const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(request_->deadline - now);
   const std::string digits = std::to_string(std::max<std::int64_t>(remaining.count(), 1));
@@ -125,43 +127,43 @@
   char bytes[pg::kMessageHeaderSize];
   if (evbuffer_copyout(input(), bytes, sizeof bytes) < static_cast<ev_ssize_t>(sizeof bytes))
     return ReadStatus::NeedMoreInput;
-  const auto head = pg::parseMessageHeader(bytes);
-  if (!head || !parser_.accepts(*head)) return fail(ProtocolError::UnexpectedMessage);
-  if (evbuffer_get_length(input()) < pg::kMessageHeaderSize + head->bodySize)
+  const auto header = pg::parseMessageHeader(bytes);
+  if (!header || !parser_.accepts(*header)) return fail(ProtocolError::UnexpectedMessage);
+  if (evbuffer_get_length(input()) < pg::kMessageHeaderSize + header->bodySize)
     return ReadStatus::NeedMoreInput;
-  if (head->type == 'D' && !request_->isHealthCheck()) return moveRow(*head);
-  return parseMessage(*head);
+  if (header->type == 'D' && !request_->isHealthCheck()) return moveRow(*header);
+  return parseMessage(*header);
 }
 
-// The row of a statement's response is moved, its value unread.
-UpstreamConnection::ReadStatus UpstreamConnection::moveRow(const pg::MessageHeader& head) {
+// Moves the row of a statement's response to the messages for the client without reading its value.
+UpstreamConnection::ReadStatus UpstreamConnection::moveRow(const pg::MessageHeader& header) {
   char bytes[pg::kMessageHeaderSize + pg::kRowHeaderSize];
   const bool complete =
       evbuffer_copyout(input(), bytes, sizeof bytes) == static_cast<ev_ssize_t>(sizeof bytes);
-  char columns[pg::kRowHeaderSize];
-  std::copy(bytes + pg::kMessageHeaderSize, bytes + sizeof bytes, columns);
-  if (!complete || !parser_.parseRowHead(columns, head.bodySize))
+  char rowHeader[pg::kRowHeaderSize];
+  std::copy(bytes + pg::kMessageHeaderSize, bytes + sizeof bytes, rowHeader);
+  if (!complete || !parser_.parseRowHeader(rowHeader, header.bodySize))
     return fail(ProtocolError::MalformedDataRow);
-  evbuffer_remove_buffer(input(), responseMessages_.get(), pg::kMessageHeaderSize + head.bodySize);
+  evbuffer_remove_buffer(input(), responseMessages_.get(), pg::kMessageHeaderSize + header.bodySize);
   return ReadStatus::Progress;
 }
 
-UpstreamConnection::ReadStatus UpstreamConnection::parseMessage(const pg::MessageHeader& head) {
-  const std::size_t length = pg::kMessageHeaderSize + head.bodySize;
+UpstreamConnection::ReadStatus UpstreamConnection::parseMessage(const pg::MessageHeader& header) {
+  const std::size_t length = pg::kMessageHeaderSize + header.bodySize;
   const bool wasConnecting = connecting();
   const unsigned char* const bytes = evbuffer_pullup(input(), static_cast<ev_ssize_t>(length));
   const std::string_view message(reinterpret_cast<const char*>(bytes), length);
-  const ParseStatus status = parser_.parse(head.type, message.substr(pg::kMessageHeaderSize));
+  const ParseStatus status = parser_.parse(header.type, message.substr(pg::kMessageHeaderSize));
   if (status == ParseStatus::Malformed) return fail(parser_.protocolError());
-  if (head.type == 'E') logServerError();
+  if (header.type == 'E') logServerError();
   if (status == ParseStatus::AuthenticationRequired)
     logEvent(LogLevel::Warning, "server_requires_authentication");
   if (status == ParseStatus::AuthenticationRequired || status == ParseStatus::Fatal) {
     handler_.onConnectionLost(*this, parser_.statusIfLost());
     return ReadStatus::Destroyed;
   }
-  // Of the messages that are parsed, only the response's own go on to the client.
-  if (head.type == 'T' || head.type == 'C')
+  // Of the messages that get here, only RowDescription and CommandComplete are forwarded to the client.
+  if (header.type == 'T' || header.type == 'C')
     evbuffer_remove_buffer(input(), responseMessages_.get(), length);
   else
     evbuffer_drain(input(), length);
@@ -173,7 +175,7 @@
     handler_.onConnected(*this);
   } else {
     deliverResponse();
-    if (!isClean()) {
+    if (!isReusable()) {
       handler_.onNotReusable(*this);
       return ReadStatus::Destroyed;
     }
@@ -199,8 +201,8 @@
     startTimer(timer_.get(), kResponseTimeout);
 }
 
-// An endpoint that is not ready says so to each health check: a line for each would crowd out those of
-// statements.
+// Logs errors of statements only. An endpoint that is not ready answers each health check with an error, and
+// a log line for each would crowd out those of statements.
 void UpstreamConnection::logServerError() const {
   const ServerResponse& response = parser_.response();
   const bool ofStatement = request_ != nullptr && !request_->isHealthCheck();
--- a/src/upstream/pg/upstream_connection.hpp
+++ b/src/upstream/pg/upstream_connection.hpp
@@ -1,4 +1,5 @@
-// One connection to an endpoint: its startup, the queries that it carries one at a time, their responses.
+// One connection to an endpoint: performs the startup, then sends one query at a time and receives its
+// response.
 #pragma once
 
 #include <cstddef>
@@ -12,21 +13,22 @@
 
 class UpstreamConnection;
 
-/// Owns connections and is notified of what happens on them. Only onConnected and onResponse leave the
-/// connection alive for certain.
+/// Owns the connections and receives their events. Any function except onConnected and onResponse may destroy
+/// the connection.
 class UpstreamConnectionHandler {
  public:
-  /// The startup is complete; onReady follows.
+  /// The startup is complete. onReady is called next.
   virtual void onConnected(UpstreamConnection& connection) = 0;
-  /// May take a request. False: the connection has been destroyed.
+  /// The connection can be assigned a request. Returns false if the connection has been destroyed.
   virtual bool onReady(UpstreamConnection& connection) = 0;
-  /// The connection carries this request no more. `messages` holds the RowDescription, DataRow and
-  /// CommandComplete as they came.
+  /// The response to a request is complete, and the request is detached from the connection. `messages`
+  /// contains the RowDescription, DataRow and CommandComplete unchanged.
   virtual void onResponse(UpstreamRequest& request, const ServerResponse& response, Buffer messages) = 0;
-  /// The connection is at its end; `status` is that of the attempt on it.
+  /// The connection was closed, failed or timed out. `status` is the status of the attempt on it.
   virtual void onConnectionLost(UpstreamConnection& connection, AttemptStatus status) = 0;
+  /// The endpoint sent something other than a complete, valid response.
   virtual void onMalformedResponse(UpstreamConnection& connection, ProtocolError error) = 0;
-  /// The response was good, but the connection can't be used again.
+  /// The response was valid, but the connection cannot be reused, see UpstreamConnection::isReusable.
   virtual void onNotReusable(UpstreamConnection& connection) = 0;
 
  protected:
@@ -35,35 +37,36 @@
 
 class UpstreamConnection {
  public:
-  /// Starts to connect. A failure is reported from the event loop, never from within this call.
+  /// Starts connecting. A failure is reported from the event loop, never from within the constructor.
   UpstreamConnection(event_base* base, UpstreamConnectionHandler& handler, EndpointId endpoint,
                      const Address& address, Duration connectTimeout);
-  /// Shuts the connection down at once.
+  /// Shuts the socket down immediately.
   ~UpstreamConnection();
   UpstreamConnection(const UpstreamConnection& other) = delete;
   UpstreamConnection& operator=(const UpstreamConnection& other) = delete;
 
   EndpointId endpoint() const { return endpoint_; }
   const Address& address() const { return address_; }
-  /// Whether its startup is not complete yet.
+  /// Whether the startup is not complete yet.
   bool connecting() const { return parser_.inStartup(); }
-  /// The request that it carries, or null.
+  /// The assigned request, or null.
   UpstreamRequest* request() const { return request_; }
-  /// Whether the response so far blames the statement; false without a request.
+  /// Whether the response received so far has an error that the statement itself caused. False without a
+  /// request.
   bool invalidStatement() const { return request_ != nullptr && parser_.response().invalidStatement; }
-  /// Whether all bytes written have left the process.
+  /// Whether all written bytes have been passed to the socket.
   bool flushed() const { return evbuffer_get_length(output()) == 0; }
-  /// Whether nothing has arrived that is still unread, the end of the connection included. What stands behind
-  /// a response (a repetition, noise) must not be taken for the next one.
-  bool isClean() const;
+  /// Whether the connection is open and has no unread data. Data that follows a complete response, such as a
+  /// repetition of it or garbage, must not be taken for the next response.
+  bool isReusable() const;
 
-  /// Takes a request, which is not written yet.
+  /// Assigns a request, but does not write it yet.
   void assign(UpstreamRequest& request);
-  /// Parts with the request that it carries; returns it, or null.
+  /// Removes and returns the assigned request; null if there is none.
   UpstreamRequest* detach();
-  /// Writes the query of its request, with the time that is left until the request's deadline.
+  /// Writes the query of the assigned request, with the remaining time until its deadline.
   void writeRequest(TimePoint now);
-  /// Reports the connection as lost when it has not been assigned a request by then.
+  /// Reports the connection as lost if it is not assigned a request within `maxIdleTime`.
   void startIdleTimer(Duration maxIdleTime);
 
  private:
@@ -76,8 +79,8 @@
   void onTimeout();
   void onReadable();
   ReadStatus readMessage();
-  ReadStatus moveRow(const pg::MessageHeader& head);
-  ReadStatus parseMessage(const pg::MessageHeader& head);
+  ReadStatus moveRow(const pg::MessageHeader& header);
+  ReadStatus parseMessage(const pg::MessageHeader& header);
   ReadStatus onReadyForQuery(bool startupCompleted);
   ReadStatus fail(ProtocolError error);
   void deliverResponse();
@@ -91,7 +94,7 @@
   UpstreamRequest* request_ = nullptr;
   Buffer responseMessages_;
   BufferEvent bev_;
-  Event timer_;  // of the connect, then of idleness or of an incomplete response
+  Event timer_;  // for the connect timeout, then for the idle or the response timeout
 };
 
 }  // namespace stonebay
--- a/src/upstream/pg/upstream_request.hpp
+++ b/src/upstream/pg/upstream_request.hpp
@@ -1,4 +1,4 @@
-// One attempt or one health check on its way through the connection pool.
+// An attempt or a health check that the connection pool carries out.
 #pragma once
 
 #include <memory>
@@ -11,16 +11,16 @@
 class ConnectionPool;
 class UpstreamConnection;
 
-/// Owned by the ConnectionPool; a connection only points at the request that it carries.
+/// Owned by the ConnectionPool. A connection has a non-owning pointer to its assigned request.
 struct UpstreamRequest {
-  RequestId id = 0;  ///< 0: a health check
+  RequestId id = 0;  ///< 0 for a health check
   int attempt = 0;
   EndpointId endpoint = 0;
   TimePoint deadline{};
   std::shared_ptr<const ForwardedRequest> message;  ///< null for a health check
-  UpstreamConnection* connection = nullptr;         ///< null: it waits for one
-  bool written = false;                             ///< some byte of it may have gone out
-  int lostConnections = 0;                          ///< that ended while they carried this health check
+  UpstreamConnection* connection = nullptr;         ///< null while it waits for a connection
+  bool written = false;                             ///< whether some of its bytes may have been sent
+  int lostConnections = 0;                          ///< number of connections lost during this health check
   ConnectionPool* pool = nullptr;
   Event deadlineTimer;
 
--- a/tests/client_limits_test.cpp
+++ b/tests/client_limits_test.cpp
@@ -1,31 +1,33 @@
-// Limits on the number of clients, and who is closed at them. scenario.hpp explains the language.
+// Limits on the number of clients, and which of them are closed at the limits. See scenario.hpp for the
+// script language.
 #include "scenario.hpp"
 
 namespace stonebay::test {
 namespace {
 
-// The descriptor table is full long before the limits that the configuration asks for.
+// The process may open far fewer descriptors than its configuration allows, so accept fails with EMFILE
+// before the limit on clients is reached.
 TEST(ClientLimits, FullDescriptorTableOnlyPausesAccepting) {
   Setting s;
   s.descriptors = 24;
   Scenario t(s);
-  std::string many;
-  for (int k = 1; k <= 30; ++k) many += "d" + std::to_string(k) + " send bytes 0\n";
-  t.run("s2 wait idle 2\n" + many + "proxy expect log Too many open files\n");
+  std::string script;
+  for (int k = 1; k <= 30; ++k) script += "d" + std::to_string(k) + " send bytes 0\n";
+  t.run("s2 wait idle 2\n" + script + "proxy expect log Too many open files\n");
   for (int k = 1; k <= 30; ++k) t.run("d" + std::to_string(k) + " close\n");
   t.run(R"(
     c1 send query
     c1 expect empty
   )");
 }
-// Found on a day of faulty clients: 900 silent connections reached the limit, and none was accepted any more.
+// 900 connections of faulty clients that sent nothing reached the limit, and no further client was accepted.
 TEST(ClientLimits, EvictsClientsWithoutRequestsForNewOnes) {
   Setting s;
-  s.sockets = 128;  // 46 clients
+  s.sockets = 128;  // allows 46 clients
   Scenario t(s);
-  std::string many;
-  for (int k = 1; k <= 60; ++k) many += "d" + std::to_string(k) + " send bytes 0\n";
-  t.run(many + R"(
+  std::string script;
+  for (int k = 1; k <= 60; ++k) script += "d" + std::to_string(k) + " send bytes 0\n";
+  t.run(script + R"(
     c2 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
     s2 send row v
@@ -33,9 +35,10 @@
     d1 expect closed
   )");
 }
-// Incident r892791: clients that sent one request and kept their connections had none left for further
-// requests; all that they may hold is a third of the descriptors, and the limit here was not reached.
-TEST(ClientLimits, ClosesTheLongestIdleClientBeyondAThirdOfTheDescriptors) {
+// In incident r892791 clients kept each connection open after one request, until they could open no more. A
+// client system can open as many connections as a third of the descriptors, which is below the proxy's limit
+// on clients, so the proxy closed none of them.
+TEST(ClientLimits, ClosesTheLongestIdleClientBeforeAThirdOfTheDescriptorsIsUsed) {
   Setting s;
   s.sockets = 128;
   Scenario t(s);
@@ -64,14 +67,14 @@
     c4 expect empty
   )");
 }
-TEST(ClientLimits, AtItsLimitClosesTheLongestIdleClient) {
+TEST(ClientLimits, ClosesTheLongestIdleClientAtTheLimit) {
   Setting s;
-  s.sockets = 128;  // 46 clients
+  s.sockets = 128;  // allows 46 clients, of which 32 may be active
   Scenario t(s);
-  std::string many;
+  std::string script;
   for (int k = 1; k <= 60; ++k)
-    many += "c" + std::to_string(k) + " send query\nc" + std::to_string(k) + " expect empty\n";
-  t.run(many + "c1 expect closed\n");
+    script += "c" + std::to_string(k) + " send query\nc" + std::to_string(k) + " expect empty\n";
+  t.run(script + "c1 expect closed\n");
 }
 
 }  // namespace
--- a/tests/client_session_test.cpp
+++ b/tests/client_session_test.cpp
@@ -1,4 +1,4 @@
-// Tests of one client session on a socket pair, without a listener.
+// Tests one client session on a socket pair, without a listener.
 #include "downstream/pg/client_session.hpp"
 
 #include <gtest/gtest.h>
@@ -57,20 +57,21 @@
   EXPECT_EQ(session->checkTimeouts(dispatcher.now() + milliseconds(1600)), CloseReason::IncompleteMessage);
 }
 
-// Brink seed 35, zone: the last bytes of a slow request arrived in the moment of its timeout. The session was
-// closed over them, and the request was lost.
-TEST_F(ClientSessionTest, RequestThatIsCompletedInTheMomentOfItsTimeoutIsStillRead) {
+// The last bytes of a slow request had arrived but were not read yet when its timeout was checked. The
+// session was closed, and the request was lost.
+TEST_F(ClientSessionTest, RequestCompletedAtItsTimeoutIsStillRead) {
   const std::string query = pg::query("SELECT 1");
   write(query.substr(0, 8));
   runLoop();
-  write(query.substr(8));  // arrived, and not read yet
+  write(query.substr(8));  // has arrived, but is not read yet
   EXPECT_EQ(session->checkTimeouts(dispatcher.now() + milliseconds(1600)), std::nullopt);
   runLoop();
-  EXPECT_EQ(session->checkTimeouts(dispatcher.now() + milliseconds(1700)), std::nullopt) << "it is complete";
+  EXPECT_EQ(session->checkTimeouts(dispatcher.now() + milliseconds(1700)), std::nullopt)
+      << "the request is complete";
   EXPECT_TRUE(session->active());
 }
 
-TEST_F(ClientSessionTest, FirstRequestThatArrivesInTheMomentOfItsTimeoutIsStillRead) {
+TEST_F(ClientSessionTest, FirstRequestArrivingAtItsTimeoutIsStillRead) {
   EXPECT_EQ(session->checkTimeouts(dispatcher.now() + milliseconds(2100)), CloseReason::NoRequest);
   write(pg::query("SELECT 1"));
   EXPECT_EQ(session->checkTimeouts(dispatcher.now() + milliseconds(2100)), std::nullopt);
--- a/tests/connection_set_test.cpp
+++ b/tests/connection_set_test.cpp
@@ -1,4 +1,4 @@
-// The connections to all endpoints: what their maintenance visits.
+// Which endpoints ConnectionSet::maintainMinIdle visits. A change of one endpoint must not visit the others.
 #include "upstream/pg/connection_set.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/downstream_test.cpp
+++ b/tests/downstream_test.cpp
@@ -1,4 +1,5 @@
-// Client sessions: startup, pipelining, cancellation, malformed input. scenario.hpp explains the language.
+// Client sessions: startup, pipelining, cancellation, malformed input. See scenario.hpp for the script
+// language.
 #include "scenario.hpp"
 
 namespace stonebay::test {
@@ -19,7 +20,7 @@
     c1 expect row v2
   )");
 }
-TEST(Downstream, AnswersPipelinedQueriesInOrder) {
+TEST(Downstream, RespondsToPipelinedQueriesInOrder) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -34,8 +35,8 @@
     c1 expect empty
   )");
 }
-// Pipelined requests: the deadline of each counted from the response before it, so that a client that waited
-// by its own clock left without a response.
+// The deadline of a pipelined request was counted from the response before it, so that a client whose own
+// timeout counts from the time of sending left before the response.
 TEST(Downstream, DeadlineOfAPipelinedRequestCountsFromItsArrival) {
   Scenario t;
   t.run(R"(
@@ -43,7 +44,7 @@
     c1 send query SELECT 2 /* id=2,c=read,d=300,cluster=3 */
     c1 send query SELECT 3 /* id=3,c=read,d=7000,cluster=3 */
     s2 expect query id=1
-    # a clock: the same time, sent later
+    # fails after 300 ms, when the deadline of request 2 has passed as well
     c2 send query INSERT 4 /* id=4,c=write,d=300,k=1,cluster=3 */
     c2 expect error 40003
     s2 send row one
@@ -54,12 +55,12 @@
     c1 expect row three
   )");
 }
-// Found by a profile: libevent calls back without end while an input stands at its high watermark.
-TEST(Downstream, DoesNotSpinWhileAClientPipelinesMoreThanIsReadAhead) {
+// libevent calls the read callback in every pass of the event loop while the input is at its high watermark.
+TEST(Downstream, DoesNotSpinWhileAClientPipelinesMoreThanTheInputLimit) {
   Scenario t;
-  std::string many = "c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */\n";
-  for (int k = 0; k < 400; ++k) many += "c1 send query " + std::string(100, ';') + "\n";
-  t.run(many + R"(
+  std::string script = "c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */\n";
+  for (int k = 0; k < 400; ++k) script += "c1 send query " + std::string(100, ';') + "\n";
+  t.run(script + R"(
     s2 expect query id=1
     proxy expect quiet
     s2 send row v
@@ -67,8 +68,8 @@
   )");
   for (int k = 0; k < 400; ++k) t.run("c1 expect empty");
 }
-// The platform's settings say retryAfter=false of the simulator's clients; those on sockets get it all the
-// same.
+// retryAfter=false in the platform's settings is meant for the simulator's clients. Clients on sockets get a
+// Retry-After nevertheless.
 TEST(Downstream, RejectionCarriesARetryAfter) {
   Setting s;
   s.retryAfterAllowed = false;
@@ -91,23 +92,24 @@
     s2 expect closed
   )");
 }
-// All statements too long to be read ahead share the memory that the settings leave for them.
+// All statements longer than ClientConnection::kReadAhead share the limit Config::maxLargeStatementBytes.
 TEST(Downstream, LimitsTheMemoryOfAllLongStatements) {
   Setting s;
-  s.memoryMb = 24;  // of which 3 MB are for long statements
+  s.memoryMb = 24;  // 3 MB of them for long statements
   Scenario t(s);
   const std::string text(131072, 'x');
-  const auto ask = [&](int k) {
-    const std::string n = std::to_string(k);
-    return "c" + n + " send query SELECT '" + text + "' /* id=" + n + ",c=read,d=7000,cluster=3 */\n";
+  const auto sendStatement = [&](int k) {
+    const std::string number = std::to_string(k);
+    return "c" + number + " send query SELECT '" + text + "' /* id=" + number +
+           ",c=read,d=7000,cluster=3 */\n";
   };
-  for (int k = 1; k <= 23; ++k) t.run(ask(k) + "s2 expect query id=" + std::to_string(k) + ",\n");
-  t.run(ask(24) + R"(
+  for (int k = 1; k <= 23; ++k) t.run(sendStatement(k) + "s2 expect query id=" + std::to_string(k) + ",\n");
+  t.run(sendStatement(24) + R"(
     c24 expect error 53200
     c24 expect closed
     s2 send row v
     c23 expect row v
-  )" + ask(25) +
+  )" + sendStatement(25) +
         "s2 expect query id=25,\n");
 }
 TEST(Downstream, MalformedInputEndsOnlyItsOwnSession) {
@@ -143,7 +145,7 @@
     c1 expect row v
   )");
 }
-// Cancelling has the effect of disconnecting, but keeps the connection.
+// A CancelRequest cancels the attempt as a disconnect does, but the connection stays open.
 TEST(Downstream, CancelRequestCancelsTheAttempt) {
   Scenario t;
   t.run(R"(
@@ -159,7 +161,7 @@
     s2 expect query id=2
     s2 send row two
     c2 expect row two
-    # what it cancels is over: nothing happens to the next
+    # no request is in flight, so this cancels nothing, and the next request is not affected
     c1 cancel
     c1 expect cancelled
     c1 send query SELECT 3 /* id=3,c=read,d=60000,cluster=3 */
@@ -168,8 +170,8 @@
     c1 expect row three
   )");
 }
-// Both arrive in one pass of the loop: there is one response, and it is the cancellation's.
-TEST(Downstream, CancelRequestThatCrossesTheResponseGivesOneResponse) {
+// If both arrive in one pass of the event loop, the client gets one response, which reports the cancellation.
+TEST(Downstream, CancelRequestInThePassOfTheResponseGivesOneResponse) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=60000,cluster=3 */
@@ -187,16 +189,16 @@
     c1 expect empty
   )");
 }
-// Found by reading the code: while the input stands at its limit nothing is read, and so the client's end was
-// not noticed either.
+// While the input is at its limit nothing is read from the socket, so the proxy did not notice that the
+// client had closed the connection.
 TEST(Downstream, DisconnectIsNoticedBehindUnreadInput) {
   Scenario t;
-  std::string many = "c1 send query SELECT 1 /* id=1,c=read,d=60000,cluster=3 */\ns2 expect query id=1\n";
-  for (int k = 0; k < 400; ++k) many += "c1 send query " + std::string(100, ';') + "\n";
-  t.run(many + R"(
+  std::string script = "c1 send query SELECT 1 /* id=1,c=read,d=60000,cluster=3 */\ns2 expect query id=1\n";
+  for (int k = 0; k < 400; ++k) script += "c1 send query " + std::string(100, ';') + "\n";
+  t.run(script + R"(
     proxy expect quiet
     c1 close
-    # a clock
+    # fails after 1000 ms; by then the disconnect must have been noticed
     c2 send query INSERT 2 /* id=2,c=write,d=1000,k=1,cluster=3 */
     c2 expect error 40003
     s2 expect gone
@@ -217,7 +219,7 @@
     c2 expect row w
   )");
 }
-TEST(Downstream, RejectsAnOversizedLengthByItsHead) {
+TEST(Downstream, RejectsOversizedAndInconsistentLengths) {
   Scenario t;
   t.run(R"(
     c1 send query
--- a/tests/response_parser_test.cpp
+++ b/tests/response_parser_test.cpp
@@ -9,15 +9,15 @@
 
 using namespace std::string_literals;
 
-constexpr std::size_t kSomeLength = 10;
+constexpr std::size_t kSomeLength = 10;  // an acceptable body length for any message
 const std::string kRowDescription = "\0\1blob\0"s + std::string(18, '\0');
 
-// The fields of an ErrorResponse.
+// Returns the body of an ErrorResponse.
 std::string errorBody(const std::string& severity, const std::string& code) {
   return "S" + severity + "\0C"s + code + "\0Mscripted\0\0"s;
 }
 
-// Past its startup, and waiting for a response.
+// Returns a parser that has completed the startup and expects a response.
 ResponseParser readyParser(bool healthCheck = false) {
   ResponseParser parser;
   EXPECT_EQ(parser.parse('R', "\0\0\0\0"s), ParseStatus::Continue);
@@ -27,8 +27,8 @@
 }
 
 bool parseRow(ResponseParser& parser, const std::string& value) {
-  const char columns[pg::kRowHeaderSize] = {0, 1, 0, 0, 0, static_cast<char>(value.size())};
-  return parser.parseRowHead(columns, pg::kRowHeaderSize + value.size());
+  const char rowHeader[pg::kRowHeaderSize] = {0, 1, 0, 0, 0, static_cast<char>(value.size())};
+  return parser.parseRowHeader(rowHeader, pg::kRowHeaderSize + value.size());
 }
 
 TEST(ResponseParser, StartupEndsWithReadyForQuery) {
@@ -40,7 +40,7 @@
   EXPECT_FALSE(parser.inStartup());
   EXPECT_EQ(parser.statusIfLost(), AttemptStatus::Reset);
 }
-TEST(ResponseParser, StartupErrorIsFatalAndTooManyConnectionsARejection) {
+TEST(ResponseParser, StartupErrorIsFatalAndTooManyConnectionsIsARejection) {
   ResponseParser parser;
   EXPECT_EQ(parser.parse('E', errorBody("ERROR", "57P03")), ParseStatus::Fatal);
   EXPECT_EQ(parser.statusIfLost(), AttemptStatus::ConnectFailed);
@@ -48,11 +48,11 @@
   EXPECT_EQ(full.parse('E', errorBody("FATAL", "53300")), ParseStatus::Fatal);
   EXPECT_EQ(full.statusIfLost(), AttemptStatus::Rejected);
 }
-TEST(ResponseParser, AnyAuthenticationButNoneIsRequired) {
+TEST(ResponseParser, RequestForAPasswordIsReported) {
   ResponseParser parser;
   EXPECT_EQ(parser.parse('R', "\0\0\0\3"s), ParseStatus::AuthenticationRequired);
 }
-TEST(ResponseParser, ResponseIsDescriptionRowAndCompletionInThisOrder) {
+TEST(ResponseParser, AcceptsDescriptionRowAndCompletionInThisOrderOnly) {
   ResponseParser parser = readyParser();
   EXPECT_FALSE(parser.responseStarted());
   EXPECT_FALSE(parser.accepts({'D', kSomeLength}));
@@ -75,7 +75,7 @@
   EXPECT_EQ(parser.response().positionMs, 1767225600123);
   EXPECT_EQ(parser.response().loadReport, "x0=1");
 }
-TEST(ResponseParser, LengthsAreLimitedBeforeTheBodyArrives) {
+TEST(ResponseParser, RejectsExcessiveLengthsByTheHeader) {
   ResponseParser parser = readyParser();
   EXPECT_TRUE(parser.accepts({'T', pg::kMaxServerMessageSize}));
   EXPECT_FALSE(parser.accepts({'T', pg::kMaxServerMessageSize + 1}));
@@ -83,7 +83,7 @@
   EXPECT_TRUE(parser.accepts({'D', pg::kRowHeaderSize + pg::kMaxValueSize}));
   EXPECT_FALSE(parser.accepts({'D', pg::kRowHeaderSize + pg::kMaxValueSize + 1}));
 }
-TEST(ResponseParser, ErrorsMapToTheEndOfTheAttempt) {
+TEST(ResponseParser, ErrorCodesMapToAttemptStatus) {
   struct Case {
     const char* code;
     AttemptStatus status;
@@ -110,7 +110,7 @@
   EXPECT_EQ(parser.parse('E', errorBody("FATAL", "57P01")), ParseStatus::Fatal);
   EXPECT_EQ(parser.statusIfLost(), AttemptStatus::Error);
 }
-TEST(ResponseParser, MalformedMessagesSayWhatIsWrong) {
+TEST(ResponseParser, MalformedMessagesReportTheirProtocolError) {
   const auto errorOf = [](ResponseParser parser, char type, const std::string& body) {
     EXPECT_EQ(parser.parse(type, body), ParseStatus::Malformed);
     return parser.protocolError();
@@ -122,9 +122,9 @@
   EXPECT_EQ(errorOf(readyParser(), 'Z', "X"), ProtocolError::MalformedReadyForQuery);
   ResponseParser parser = readyParser();
   const char twoColumns[pg::kRowHeaderSize] = {0, 2, 0, 0, 0, 1};
-  EXPECT_FALSE(parser.parseRowHead(twoColumns, pg::kRowHeaderSize + 1));
+  EXPECT_FALSE(parser.parseRowHeader(twoColumns, pg::kRowHeaderSize + 1));
 }
-TEST(ResponseParser, HealthCheckKeepsTheReportAndTakesAnyTag) {
+TEST(ResponseParser, HealthCheckStoresTheReportAndAcceptsAnyCommandTag) {
   ResponseParser parser = readyParser(true);
   EXPECT_EQ(parser.parse('T', kRowDescription), ParseStatus::Continue);
   EXPECT_EQ(parser.parse('D', "\0\1\0\0\0\4x0=1"s), ParseStatus::Continue);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -1,4 +1,4 @@
-// The graceful shutdown on SIGTERM. scenario.hpp explains the language.
+// The graceful shutdown on SIGTERM. See scenario.hpp for the script language.
 #include "scenario.hpp"
 
 namespace stonebay::test {
@@ -25,8 +25,9 @@
     proxy expect exit 0
   )");
 }
-// After SIGTERM clients go on sending on every connection that stays open. Once accepting has stopped, new
-// requests are rejected with a Retry-After, or the shutdown would never end; the close loses no response.
+// After SIGTERM clients keep sending on every connection that is open. If new requests were not rejected with
+// a Retry-After once accepting has stopped, the shutdown would never end. No response is lost when the
+// connection is closed.
 TEST(Shutdown, RejectsRequestsThatArriveAfterAcceptingHasStopped) {
   Scenario t;
   t.run(R"(
@@ -44,8 +45,8 @@
     proxy expect exit 0
   )");
 }
-// Accepting stops in the very moment in which a connection and its first request have arrived, unread.
-TEST(Shutdown, AnswersAConnectionThatCrossesTheEndOfAccepting) {
+// A connection and its first request have arrived, but have not been read, when accepting stops.
+TEST(Shutdown, RespondsToAConnectionThatArrivesAsAcceptingStops) {
   Scenario t;
   t.run(R"(
     proxy send TERM
--- a/tests/startup_message_test.cpp
+++ b/tests/startup_message_test.cpp
@@ -11,7 +11,7 @@
 
 using Kind = StartupMessage::Kind;
 
-std::string number(std::uint32_t value) {
+std::string encodeInt32(std::uint32_t value) {
   std::string bytes;
   for (int shift = 24; shift >= 0; shift -= 8) bytes.push_back(static_cast<char>(value >> shift));
   return bytes;
@@ -29,22 +29,23 @@
   EXPECT_EQ(parse(startup + "more").length, startup.size());
 }
 TEST(StartupMessage, LengthOutOfRangeIsMalformed) {
-  EXPECT_EQ(parse(number(7) + number(pg::kProtocolVersion3)).kind, Kind::Malformed);
-  EXPECT_EQ(parse(number(pg::kMaxStartupSize + 1) + number(pg::kProtocolVersion3)).kind, Kind::Malformed);
+  EXPECT_EQ(parse(encodeInt32(7) + encodeInt32(pg::kProtocolVersion3)).kind, Kind::Malformed);
+  EXPECT_EQ(parse(encodeInt32(pg::kMaxStartupSize + 1) + encodeInt32(pg::kProtocolVersion3)).kind,
+            Kind::Malformed);
 }
-TEST(StartupMessage, KindFollowsFromTheCode) {
-  EXPECT_EQ(parse(number(8) + number(pg::kSslRequest)).kind, Kind::EncryptionRequest);
-  EXPECT_EQ(parse(number(8) + number(pg::kGssEncRequest)).kind, Kind::EncryptionRequest);
-  EXPECT_EQ(parse(number(8) + number(2 << 16)).kind, Kind::UnsupportedVersion);
+TEST(StartupMessage, CodeDeterminesTheKind) {
+  EXPECT_EQ(parse(encodeInt32(8) + encodeInt32(pg::kSslRequest)).kind, Kind::EncryptionRequest);
+  EXPECT_EQ(parse(encodeInt32(8) + encodeInt32(pg::kGssEncRequest)).kind, Kind::EncryptionRequest);
+  EXPECT_EQ(parse(encodeInt32(8) + encodeInt32(2 << 16)).kind, Kind::UnsupportedVersion);
 }
 TEST(StartupMessage, CancelRequestCarriesAKey) {
-  const StartupMessage message =
-      parse(number(pg::kCancelRequestSize) + number(pg::kCancelRequest) + number(5) + number(9));
+  const StartupMessage message = parse(encodeInt32(pg::kCancelRequestSize) + encodeInt32(pg::kCancelRequest) +
+                                       encodeInt32(5) + encodeInt32(9));
   EXPECT_EQ(message.kind, Kind::CancelRequest);
   ASSERT_TRUE(message.cancelKey.has_value());
-  EXPECT_EQ(message.cancelKey->process, 5u);
+  EXPECT_EQ(message.cancelKey->processId, 5u);
   EXPECT_EQ(message.cancelKey->secret, 9u);
-  EXPECT_FALSE(parse(number(8) + number(pg::kCancelRequest)).cancelKey.has_value());
+  EXPECT_FALSE(parse(encodeInt32(8) + encodeInt32(pg::kCancelRequest)).cancelKey.has_value());
 }
 
 }  // namespace
--- a/tests/upstream_test.cpp
+++ b/tests/upstream_test.cpp
@@ -1,5 +1,5 @@
-// Attempts, health checks and connections to endpoints, seen from outside a real process. scenario.hpp
-// explains the language.
+// Attempts, health checks and connections to endpoints, tested from outside on a running proxy process. See
+// scenario.hpp for the script language.
 #include <ctime>
 
 #include "scenario.hpp"
@@ -7,7 +7,7 @@
 namespace stonebay::test {
 namespace {
 
-TEST(Upstream, RetriesARejectionElsewhereInsteadOfForwardingIt) {
+TEST(Upstream, RetriesARejectedAttemptOnAnotherEndpoint) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -18,8 +18,8 @@
     c1 expect row v
   )");
 }
-// An incomplete row is not forwarded in part: the load balancer decides on the next attempt.
-TEST(Upstream, ConnectionLostAmidARowIsAReset) {
+// No part of an incomplete row is forwarded to the client, so the load balancer can retry the request.
+TEST(Upstream, ConnectionLostWithinARowIsAReset) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -31,7 +31,8 @@
     c1 expect row whole
   )");
 }
-// What can't be the response ends the attempt at once, as one that may have run, and its connection.
+// Data that is not a valid response ends the attempt immediately, as one that may have run, and closes the
+// connection.
 TEST(Upstream, MalformedResponseEndsTheAttemptAndItsConnection) {
   for (const std::string kind :
        {"noise", "huge", "column", "columns", "endless", "rows", "order", "none", "count"}) {
@@ -49,7 +50,7 @@
     )");
   }
 }
-// The response is good; what stands behind it must not be taken for the next one.
+// The response is valid, but the data that follows it must not be taken for the next response.
 TEST(Upstream, DoesNotReuseAConnectionWithUnsolicitedData) {
   for (const std::string kind : {"twice", "behind"}) {
     Scenario t;
@@ -80,7 +81,7 @@
     c1 expect row v
   )");
 }
-// x1=inf, read as a number, would make a replica the primary.
+// If x1=inf were accepted as a number, the replica would be taken for the primary.
 TEST(Upstream, IgnoresAMalformedLoadReport) {
   Scenario t;
   t.run("s2 report x0=" + std::to_string(time(nullptr)) + R"(,x1=inf,inflight=0
@@ -94,7 +95,8 @@
     c1 expect row w
   )");
 }
-// event4996: reports came with every response and were dropped; each read paid for health checks instead.
+// In event4996 every response carried a load report, but the reports were dropped, so that each read caused
+// health checks instead.
 TEST(Upstream, UsesTheLoadReportOfAResponse) {
   Setting s;
   s.reports = "piggyback";
@@ -129,7 +131,7 @@
     s2 expect closed
   )");
 }
-// A failed request can be followed by the id that its client knows.
+// The log lines of a failed request contain the id that its client gave to it.
 TEST(Upstream, LogsTheAttemptsOfAFailedRequest) {
   Scenario t;
   t.run(R"(
@@ -148,7 +150,7 @@
     proxy expect log  reason=
   )");
 }
-TEST(Upstream, SendsNothingForAClientThatClosedWhileTheProxyWasHeldUp) {
+TEST(Upstream, DoesNotSendTheRequestOfAClientThatClosedDuringAStall) {
   Scenario t;
   t.run(R"(
     c1 send query SELECT 0 /* id=9,c=read,d=7000,cluster=3 */
@@ -185,8 +187,7 @@
     c1 expect row w
   )");
 }
-// Found on a day of idle connections that are reset at the next request: a health check that met one ejected
-// its endpoint.
+// An endpoint was ejected because a health check was sent on an idle connection that was then reset.
 TEST(Upstream, HealthCheckThatLosesAnIdleConnectionIsSentOnAnother) {
   Scenario t;
   t.run(R"(
@@ -198,10 +199,10 @@
     c1 expect row v
   )");
 }
-// Found on a day with a zone cut off: attempts went out on connections that stayed open and silent.
+// When a zone was cut off, attempts were sent on idle connections that stayed open but got no response.
 TEST(Upstream, HealthCheckTimeoutClosesAllIdleConnections) {
   Setting s;
-  s.idleCloseUs = "600000000";  // idleness alone ends none
+  s.idleCloseUs = "600000000";  // too long to close any connection in this test
   Scenario t(s);
   t.run(R"(
     s2 wait idle 2
@@ -213,9 +214,9 @@
     s2 expect drained
   )");
 }
-// event4996: a hundred proxies with two idle connections to each of sixty endpoints filled the endpoints'
-// connection tables, and proxies with requests were rejected.
-TEST(Upstream, OneOfManyProxiesConnectsOnDemandOnly) {
+// In event4996 a hundred proxies kept two idle connections to each of sixty endpoints. These filled the
+// endpoints' connection tables, and connections of proxies with requests were rejected.
+TEST(Upstream, ConnectsOnDemandOnlyWithManyProxies) {
   Setting s;
   s.proxyCount = 100;
   Scenario t(s);
@@ -248,11 +249,12 @@
     s2 wait idle 2
   )");
 }
-// A connection that was busy when its endpoint moved went back among the idle ones of the new address.
-TEST(Upstream, KeepsNoConnectionToAFormerAddress) {
+// A connection that carried a request when the address of its endpoint changed was reused for the new
+// address.
+TEST(Upstream, ClosesConnectionsToAFormerAddress) {
   Setting setting;
   setting.servers = 3;
-  setting.idleCloseUs = "600000000";  // idleness alone ends none
+  setting.idleCloseUs = "600000000";  // too long to close any connection in this test
   Scenario t(setting);
   std::string moved = t.list(3, "active", 7);
   moved.replace(moved.find("s-3"), 3, "s-2");
