--- a/src/discovery/address.cpp
+++ b/src/discovery/address.cpp
@@ -13,8 +13,8 @@
   if (colon == std::string_view::npos) return std::nullopt;
   std::uint16_t port = 0;
   const char* const end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data() + colon + 1, end, port);
-  if (error != std::errc() || stop != end) return std::nullopt;
+  const auto [parsedEnd, error] = std::from_chars(text.data() + colon + 1, end, port);
+  if (error != std::errc() || parsedEnd != end) return std::nullopt;
   std::string host(text.substr(0, colon));
   Address address;
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
--- a/src/discovery/address.hpp
+++ b/src/discovery/address.hpp
@@ -1,4 +1,4 @@
-// Socket addresses.
+// IPv4 and IPv6 socket addresses.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,28 +11,30 @@
 
 namespace stonebay {
 
-/// An IPv4 or IPv6 address with a port, or none. A value type; cheap to copy.
+/// An IPv4 or IPv6 address with a port, or no address (see none()). A value type that is cheap to copy.
 class Address {
  public:
-  /// None.
+  /// Creates an object without an address, for which none() is true.
   Address() = default;
-  /// "10.1.0.18:5432" or "[fe80::1]:5432"; nothing when the text is neither.
+  /// Parses text such as "10.1.0.18:5432" or "[fe80::1]:5432". Returns std::nullopt if the text is malformed.
   static std::optional<Address> parse(std::string_view text);
-  /// From 4 or 16 bytes in network byte order, as A and AAAA records hold them; none for any other length.
+  /// Converts 4 or 16 bytes in network byte order, the data of an A or AAAA record. Returns no address for
+  /// any other length.
   static Address fromBytes(std::string_view bytes, std::uint16_t port);
-  /// None for a family other than AF_INET and AF_INET6.
+  /// Converts a socket address. Returns no address if the family is neither AF_INET nor AF_INET6.
   static Address fromSocket(const sockaddr* from);
 
+  /// Returns true if there is no address.
   bool none() const { return any_.sa_family == 0; }
   bool v6() const { return any_.sa_family == AF_INET6; }
   std::uint16_t port() const;
-  /// For bind, connect and sendto, with size().
+  /// Returns the address in the form that bind, connect and sendto take, together with size().
   const sockaddr* data() const { return &any_; }
   socklen_t size() const { return v6() ? sizeof v6_ : sizeof v4_; }
-  /// In the form that parse takes; empty for none.
+  /// Returns the form that parse() accepts, or an empty string if there is no address.
   std::string text() const;
 
-  /// For unordered containers.
+  /// Hash function for unordered containers.
   struct Hash {
     std::size_t operator()(const Address& address) const;
   };
--- a/src/discovery/dnssd/directory.cpp
+++ b/src/discovery/dnssd/directory.cpp
@@ -14,15 +14,16 @@
 
 namespace {
 
-constexpr std::size_t kMaxInstances = 4096;  // bounds the memory that a response can claim
+constexpr std::size_t kMaxInstances = 4096;  // bounds the memory that a response can allocate
 constexpr std::size_t kMaxInFlight = 16;     // queries for single record sets
-// A PTR response that lacks the records of more instances than this is worth a TCP connection.
+// TCP is used if a PTR response lacks the records of more instances than this.
 constexpr std::size_t kMaxMissingOverUdp = 3;
-constexpr int kRoundsWithoutTcp = 20;  // after TCP has failed or brought no more than a datagram
+// Number of PTR responses until TCP is tried again after it failed or brought no more records than UDP.
+constexpr int kPtrResponsesWithoutTcp = 20;
 
 Name requireName(const std::string& text) {
   const auto name = dns::parseName(text);
-  if (!name) throw InvalidInput("'" + text + "' is no domain name");
+  if (!name) throw InvalidInput("'" + text + "' is not a domain name");
   return *name;
 }
 
@@ -30,27 +31,28 @@
 
 Directory::Directory(const DnsSdSettings& settings, const std::vector<GroupName>& groups, std::uint64_t seed)
     : settings_(settings),
-      ptr_{requireName(settings.service + "." + settings.domain), Type::Ptr},
+      ptrQuestion_{requireName(settings.service + "." + settings.domain), Type::Ptr},
       domain_(requireName(settings.domain)),
       records_(settings, seed),
       assembler_(records_, groups, settings.defaultGroup),
       budget_(settings.queriesPerSecond) {
-  records_.track(ptr_);
+  records_.track(ptrQuestion_);
 }
 
 std::vector<Directory::Query> Directory::dueQueries(Time now) {
-  RecordSet& list = *records_.find(ptr_);
-  if (list.inFlight) return {};
-  if (list.refreshAt <= now || isCombinedRefreshDue(now)) {
-    list.inFlight = true;
-    return {{ptr_, ptrOverTcp_}};
+  RecordSet& ptrRecords = *records_.find(ptrQuestion_);
+  if (ptrRecords.inFlight) return {};
+  if (ptrRecords.refreshAt <= now || isCombinedRefreshDue(now)) {
+    ptrRecords.inFlight = true;
+    return {{ptrQuestion_, ptrOverTcp_}};
   }
-  if (ptrFailures_ > 0) return {};  // the same servers would fail for these, too
+  if (ptrFailures_ > 0) return {};  // the same servers would fail other queries, too
   return dueRecordQueries(now);
 }
 
-// Whether the PTR query is to refresh a record set that is due, as its response has all of them. Not right
-// after the last one, which did not help then.
+// Returns true if a PTR query should be sent to refresh the record sets that are due, because its response
+// has all of them. A record set that is still due shortly after a PTR response would not be refreshed by
+// another one.
 bool Directory::isCombinedRefreshDue(Time now) const {
   const bool combined = hadAllRecords_ && ptrFailures_ == 0;
   return combined && now - ptrRespondedAt_ >= settings_.minRefresh / 2 && records_.isAnyDue(now);
@@ -69,27 +71,27 @@
 }
 
 std::optional<Time> Directory::nextDeadline() const {
-  const RecordSet& list = *records_.find(ptr_);
-  if (list.inFlight) return std::nullopt;
-  if (ptrFailures_ > 0) return list.refreshAt;
-  // Queries for single record sets wait for the budget.
-  const Time nextRefreshAt = records_.nextRefreshAt().value_or(list.refreshAt);
-  return std::min(list.refreshAt, std::max(nextRefreshAt, budget_.availableAt()));
+  const RecordSet& ptrRecords = *records_.find(ptrQuestion_);
+  if (ptrRecords.inFlight) return std::nullopt;
+  if (ptrFailures_ > 0) return ptrRecords.refreshAt;
+  // Queries for single record sets are sent only when the budget allows it.
+  const Time nextRefreshAt = records_.nextRefreshAt().value_or(ptrRecords.refreshAt);
+  return std::min(ptrRecords.refreshAt, std::max(nextRefreshAt, budget_.availableAt()));
 }
 
 void Directory::onResponse(Time now, const Question& question, const Message& message, bool overTcp) {
   RecordSet* const set = records_.find(question);
-  if (!set) return;  // of an instance that has been withdrawn meanwhile
+  if (!set) return;  // belongs to an instance that has been withdrawn in the meantime
   const ResponseKind kind = classify(question, message);
   if (kind == ResponseKind::Unusable) return onFailure(now, question);
   set->inFlight = false;
-  if (question == ptr_) return onPtrResponse(now, kind, message, overTcp);
+  if (question == ptrQuestion_) return onPtrResponse(now, kind, message, overTcp);
   if (kind == ResponseKind::Positive)
     records_.storePositive(now, question, answersTo(question, message));
   else
     records_.storeNegative(now, question, negativeTtl(message));
   assembler_.update(question);
-  // The response may have named a target whose addresses are among its additionals.
+  // The response may name a target whose addresses are in its additional section.
   for (const Question& stored : records_.storeAdditionals(now, message.additionals, domain_))
     assembler_.update(stored);
 }
@@ -99,14 +101,15 @@
   ptrRespondedAt_ = now;
   RecordData names = acceptListedNames(message);
   if (kind == ResponseKind::Positive)
-    records_.storePositive(now, ptr_, std::move(names));
+    records_.storePositive(now, ptrQuestion_, std::move(names));
   else
-    records_.storeNegative(now, ptr_, negativeTtl(message));
+    records_.storeNegative(now, ptrQuestion_, negativeTtl(message));
   const std::vector<Name> listed = listedNames();
   for (const Name& instance : listed)
     for (const Type type : {Type::Srv, Type::Txt}) records_.track({instance, type});
-  // First the records of the instances, then the addresses of the targets that these have made known.
-  for (int pass = 0; pass < 2; ++pass) {
+  // The first iteration stores the records of the instances. Their targets are tracked from then on, so that
+  // the second iteration can store the addresses of the targets.
+  for (int iteration = 0; iteration < 2; ++iteration) {
     records_.storeAdditionals(now, message.additionals, domain_);
     assembler_.updateAll(listed);
   }
@@ -115,19 +118,19 @@
   chooseTransport(now, overTcp);
 }
 
-// The valid instance names of a PTR response, without duplicates. The others become faults.
+// Returns the valid instance names of a PTR response, without duplicates. Records the invalid ones as faults.
 RecordData Directory::acceptListedNames(const Message& message) {
   RecordData names;
   names.ttl = 0;
   std::set<Name> seen;
   std::map<std::string, std::string> faults;
   for (const Record& record : message.answers) {
-    if (record.type != Type::Ptr || record.name != ptr_.name) continue;
+    if (record.type != Type::Ptr || record.name != ptrQuestion_.name) continue;
     const Name* const name = std::get_if<Name>(&record.data);
     if (!name) continue;
     names.ttl = names.data.empty() ? record.ttl : std::min(names.ttl, record.ttl);
-    if (!dns::isWithin(*name, ptr_.name) || *name == ptr_.name)
-      faults[*name] = "named by PTR, and no instance of the service";
+    if (!dns::isWithin(*name, ptrQuestion_.name) || *name == ptrQuestion_.name)
+      faults[*name] = "the PTR record does not name an instance of the service";
     else if (names.data.size() < kMaxInstances && seen.insert(*name).second)
       names.data.emplace_back(*name);
   }
@@ -135,22 +138,22 @@
   return names;
 }
 
-// Chooses the transport of the next PTR query by the number of instances whose records this response lacked.
+// Chooses the transport of the next PTR query by the number of instances whose records this response lacks.
 void Directory::chooseTransport(Time now, bool overTcp) {
-  if (roundsWithoutTcp_ > 0) --roundsWithoutTcp_;
-  const bool lacksMany = records_.dueCount(now, Type::Srv) > kMaxMissingOverUdp;
+  if (ptrResponsesUntilTcp_ > 0) --ptrResponsesUntilTcp_;
+  const bool lacksManyRecords = records_.dueCount(now, Type::Srv) > kMaxMissingOverUdp;
   if (overTcp) {
     ptrOverTcp_ = true;
-    if (lacksMany) stopUsingTcp();  // it brings no more than a datagram
-  } else if (lacksMany && roundsWithoutTcp_ == 0) {
+    if (lacksManyRecords) stopUsingTcp();  // TCP brings no more records than UDP
+  } else if (lacksManyRecords && ptrResponsesUntilTcp_ == 0) {
     ptrOverTcp_ = true;
-    records_.find(ptr_)->refreshAt = now;
+    records_.find(ptrQuestion_)->refreshAt = now;
   }
 }
 
 void Directory::stopUsingTcp() {
   ptrOverTcp_ = false;
-  roundsWithoutTcp_ = kRoundsWithoutTcp;
+  ptrResponsesUntilTcp_ = kPtrResponsesWithoutTcp;
 }
 
 bool Directory::responseHadAllRecords() const {
@@ -166,7 +169,7 @@
   RecordSet* const set = records_.find(question);
   if (!set) return;
   records_.onQueryFailure(now, *set);
-  if (question != ptr_) return;
+  if (question != ptrQuestion_) return;
   ptrFailures_ = set->failures;
   if (ptrOverTcp_) stopUsingTcp();
 }
@@ -178,11 +181,11 @@
 }
 
 bool Directory::isNeeded(const Question& question, const std::set<Name>& listed) const {
-  if (question == ptr_) return true;
+  if (question == ptrQuestion_) return true;
   switch (question.type) {
     case Type::A:
       return assembler_.isTarget(question.name);
-    case Type::Aaaa: {  // queried only where there is no IPv4 address
+    case Type::Aaaa: {  // queried only if there is no IPv4 address
       const RecordSet* const ipv4 = records_.find({question.name, Type::A});
       return assembler_.isTarget(question.name) && ipv4 != nullptr && ipv4->state == RecordSet::State::Absent;
     }
@@ -192,14 +195,14 @@
 }
 
 bool Directory::isInitialized() {
-  const bool hasList = records_.find(ptr_)->state != RecordSet::State::Unknown;
-  initialized_ = initialized_ || (hasList && records_.allAttempted());
+  const bool hasPtrRecords = records_.find(ptrQuestion_)->state != RecordSet::State::Unknown;
+  initialized_ = initialized_ || (hasPtrRecords && records_.allAttempted());
   return initialized_;
 }
 
 std::vector<Name> Directory::listedNames() const {
   std::vector<Name> names;
-  for (const Data& data : records_.find(ptr_)->data) names.push_back(std::get<Name>(data));
+  for (const Data& data : records_.find(ptrQuestion_)->data) names.push_back(std::get<Name>(data));
   return names;
 }
 
--- a/src/discovery/dnssd/directory.hpp
+++ b/src/discovery/dnssd/directory.hpp
@@ -1,4 +1,4 @@
-// The instances of one service in one domain, as DNS-SD describes them.
+// The instances of one DNS-SD service in one domain.
 #pragma once
 
 #include <cstdint>
@@ -17,19 +17,20 @@
 
 namespace stonebay {
 
-/// Decides what to query when, and makes instances out of the responses. Pure: no sockets, no clock.
+/// Schedules the DNS queries and assembles instances from the responses. Pure: no sockets, no clock.
 ///
-/// A PTR record names the instances, SRV and TXT records describe each, A or AAAA records give the address of
-/// its target (RFC 6763 sections 4 to 6). Where the PTR response has all other records as additionals, its
-/// query is the only one of a refresh. Where they do not fit into a datagram, it is sent over TCP. Where they
-/// do not come at all, each record set is queried by itself.
+/// PTR records name the instances, SRV and TXT records describe each instance, and A or AAAA records give the
+/// address of its target (RFC 6763 sections 4 to 6). If the PTR response has all other records in its
+/// additional section, a refresh takes only the PTR query. If they do not fit into a datagram, the PTR query
+/// is sent over TCP. If the response still lacks records, each missing record set is queried separately.
 ///
-/// The PTR query has no limit on its rate, those for single record sets have a budget: where a zone has more
-/// instances than a response has room for, a record may get older than its TTL, but a withdrawal is seen in
-/// time. The cost of a response grows with what it holds, not with the number of instances.
+/// The PTR query is not rate-limited; queries for single record sets are limited by a QueryBudget. If a zone
+/// has more instances than a response can describe, records may become older than their TTL, but a withdrawn
+/// instance is still detected in time. The cost of handling a response grows with its size, not with the
+/// number of instances.
 class Directory {
  public:
-  /// Throws InvalidInput when the service or the domain is not a name.
+  /// Throws InvalidInput if the service or the domain is not a valid domain name.
   Directory(const DnsSdSettings& settings, const std::vector<GroupName>& groups, std::uint64_t seed);
   Directory(const Directory&) = delete;
   Directory& operator=(const Directory&) = delete;
@@ -38,23 +39,25 @@
     dns::Question question;
     bool overTcp = false;
   };
-  /// The queries to send now. Each must end in one onResponse or onFailure.
+  /// Returns the queries to send now. The caller must complete each with one call of onResponse or onFailure.
   std::vector<Query> dueQueries(Time now);
   void onResponse(Time now, const dns::Question& question, const dns::Message& message, bool overTcp);
-  /// No server gave a usable response.
+  /// Handles a query for which no server gave a usable response.
   void onFailure(Time now, const dns::Question& question);
-  /// When dueQueries has something without any further event; nothing while the PTR query is in flight.
+  /// Returns the time from which dueQueries() may return queries without a further event; std::nullopt while
+  /// the PTR query is in flight.
   std::optional<Time> nextDeadline() const;
 
-  /// Whether each record set has been queried at least once.
+  /// Returns true once the PTR query has been answered and every record set has been queried or stored at
+  /// least once. Stays true from then on.
   bool isInitialized();
-  /// Whether the last PTR query has failed.
+  /// Returns true if the last PTR query failed.
   bool isFailing() const { return ptrFailures_ > 0; }
-  /// Changes whenever instances() or faults() may have changed.
+  /// Returns a number that changes whenever instances() or faults() may have changed.
   std::uint64_t version() const { return assembler_.version(); }
-  /// The instances whose records are complete and valid.
+  /// Returns the instances whose records are complete and valid.
   std::vector<Instance> instances() const { return assembler_.instances(); }
-  /// Why the other instances are not usable, by name; for operators.
+  /// Returns why the other instances are not usable, by name; for operators.
   const std::map<std::string, std::string>& faults() const { return assembler_.faults(); }
 
  private:
@@ -70,17 +73,17 @@
   bool responseHadAllRecords() const;
 
   const DnsSdSettings settings_;
-  const dns::Question ptr_;
+  const dns::Question ptrQuestion_;
   const dns::Name domain_;
   RecordCache records_;
   InstanceAssembler assembler_;
-  QueryBudget budget_;  // of queries for single record sets
+  QueryBudget budget_;  // for queries of single record sets
   bool initialized_ = false;
   Time ptrRespondedAt_{};
-  int ptrFailures_ = 0;         // in a row
-  bool hadAllRecords_ = false;  // the last PTR response had all other records as additionals
+  int ptrFailures_ = 0;         // consecutive
+  bool hadAllRecords_ = false;  // the last PTR response had all other records in its additional section
   bool ptrOverTcp_ = false;
-  int roundsWithoutTcp_ = 0;  // PTR responses until TCP is tried again
+  int ptrResponsesUntilTcp_ = 0;  // TCP is not tried again before this number of PTR responses
 };
 
 }  // namespace stonebay
--- a/src/discovery/dnssd/dnssd_client.cpp
+++ b/src/discovery/dnssd/dnssd_client.cpp
@@ -17,7 +17,7 @@
 
 void DnsSdClient::start(const Config& config) {
   auto directory = std::make_unique<Directory>(config.dnssd, config.groups, config.seed);
-  resolver_.reset();  // drops the lookups that are in flight
+  resolver_.reset();  // cancels the lookups in flight
   directory_ = std::move(directory);
   settings_ = config.dnssd;
   resolver_ = std::make_unique<Resolver>(
@@ -39,14 +39,14 @@
   if (const auto deadline = directory_->nextDeadline())
     startTimer(timer_.get(), *deadline - now);
   else
-    event_del(timer_.get());  // the next result starts it
+    event_del(timer_.get());  // restarted by the next result
 }
 
 void DnsSdClient::onResult(const dns::Question& question, const Resolver::Result& result) {
   if (result.ok) {
     directory_->onResponse(clock_.now(), question, result.message, result.overTcp);
-    // A PTR response confirms the list, even when nothing has changed; any other record only if something
-    // has.
+    // A PTR response confirms the list even if it is unchanged. Other records are published only if they
+    // change the list.
     const bool changed = directory_->version() != publishedVersion_;
     if (question.type == dns::Type::Ptr || changed || !hasPublished_) publish();
   } else {
@@ -62,7 +62,8 @@
            {{"name", question.name}, {"type", static_cast<int>(question.type)}, {"why", reason}});
 }
 
-// Waits until the initial list is complete: an instance that came later would count as just started.
+// Publishes nothing until the initial list is complete, because an instance that is added to the list later
+// is assumed to have just started.
 void DnsSdClient::publish() {
   if (!hasPublished_ && !directory_->isInitialized()) return;
   publishedVersion_ = directory_->version();
--- a/src/discovery/dnssd/dnssd_client.hpp
+++ b/src/discovery/dnssd/dnssd_client.hpp
@@ -1,4 +1,4 @@
-// DNS-SD as a source of the endpoint list.
+// DNS-SD as a discovery source of the endpoint list.
 #pragma once
 
 #include <map>
@@ -11,17 +11,19 @@
 
 namespace stonebay {
 
-/// Sends the queries of a Directory through a Resolver, and delivers the instances that result to an
+/// Sends the queries of a Directory through a Resolver, and delivers the resulting instances to an
 /// EndpointFeed.
 class DnsSdClient {
  public:
-  /// Queries from the next pass of the event loop on. Throws InvalidInput when the settings name no domain.
+  /// Sends the first query in the next pass of the event loop. Throws InvalidInput if the settings have no
+  /// valid domain or service.
   DnsSdClient(event_base* base, const Clock& clock, EndpointFeed& feed, const Config& config);
 
-  /// Applies new settings; nothing happens when they are the same. The list stands until the new domain has
-  /// delivered a complete one. Throws InvalidInput as the constructor does, and then keeps the old settings.
+  /// Applies new settings. Does nothing if they are unchanged. The current list stays in use until the new
+  /// domain has delivered a complete list. Throws InvalidInput like the constructor; the old settings then
+  /// stay in force.
   void reconfigure(const Config& config);
-  /// Instances that are not usable, by name, and why.
+  /// Returns why instances are not usable, by name.
   const std::map<std::string, std::string>& faults() const { return directory_->faults(); }
 
  private:
@@ -39,7 +41,7 @@
   std::unique_ptr<Directory> directory_;
   std::unique_ptr<Resolver> resolver_;
   Event timer_;
-  bool hasPublished_ = false;  // since these settings apply
+  bool hasPublished_ = false;  // under the current settings
   std::uint64_t publishedVersion_ = 0;
   std::map<std::string, std::string> loggedFaults_;
 };
--- a/src/discovery/dnssd/instance_assembler.cpp
+++ b/src/discovery/dnssd/instance_assembler.cpp
@@ -16,12 +16,13 @@
 
 constexpr int kMaxSrvWeight = 65535;
 
-// Lowest priority, then greatest weight (RFC 2782); all proxies select the same target.
+// Orders SRV records by lowest priority, then by greatest weight (RFC 2782). Ties are broken by target and
+// port, so that all proxies select the same target.
 auto rank(const dns::Srv& srv) {
   return std::make_tuple(srv.priority, kMaxSrvWeight - srv.weight, srv.target, srv.port);
 }
 
-// Null when the service is not available at any target (RFC 2782: target ".").
+// Returns null if the service is not available at any target (RFC 2782: target ".").
 const dns::Srv* selectTarget(const std::vector<Data>& records) {
   const dns::Srv* best = nullptr;
   for (const Data& data : records) {
@@ -55,7 +56,7 @@
   if (!target) {
     if (srv.state == RecordSet::State::Unknown) return {};
     if (srv.state == RecordSet::State::Absent) return {std::nullopt, "it has no SRV record"};
-    return {std::nullopt, "its SRV record says that it is not to be had"};
+    return {std::nullopt, "its SRV record says that the service is not available"};
   }
   const RecordSet& addresses = addressRecords(target->target);
   if (addresses.state == RecordSet::State::Unknown) return {};
@@ -71,14 +72,14 @@
   return {std::move(instance), ""};
 }
 
-// IPv6 addresses are used only where the target has no IPv4 address.
+// Returns the IPv4 addresses of the target, or its IPv6 addresses if it has no IPv4 address.
 const RecordSet& InstanceAssembler::addressRecords(const Name& target) {
   const RecordSet& ipv4 = records_.track({target, Type::A});
   return ipv4.state == RecordSet::State::Absent ? records_.track({target, Type::Aaaa}) : ipv4;
 }
 
-// Of several addresses, which all lead to the same server, one is selected and kept for as long as it is
-// listed.
+// Selects one of the target's addresses, which all lead to the same server. A selected address is kept as
+// long as it is listed.
 const Address& InstanceAssembler::selectAddress(const Name& instance, const std::vector<Data>& records,
                                                 std::uint16_t port) {
   std::vector<std::string> candidates;
@@ -116,7 +117,7 @@
   if (instanceChanged || faultChanged) ++version_;
 }
 
-// False when nothing has changed.
+// Returns false if nothing has changed. std::nullopt removes the instance.
 bool InstanceAssembler::storeInstance(const Name& name, std::optional<Instance> instance) {
   const auto it = instances_.find(name);
   if (!instance) {
@@ -129,7 +130,7 @@
   return true;
 }
 
-// False when nothing has changed; an empty fault is none.
+// Returns false if nothing has changed. An empty fault means that there is none.
 bool InstanceAssembler::storeFault(const Name& name, const std::string& fault) {
   const auto it = faults_.find(name);
   const bool same = it == faults_.end() ? fault.empty() : it->second == fault;
@@ -145,7 +146,7 @@
   if (question.type == Type::Srv || question.type == Type::Txt) return updateInstance(question.name);
   const auto it = instancesByTarget_.find(question.name);
   if (it == instancesByTarget_.end()) return;
-  const std::set<Name> affected = it->second;  // a copy: the update may change the target
+  const std::set<Name> affected = it->second;  // a copy, because the update may change instancesByTarget_
   for (const Name& instance : affected) updateInstance(instance);
 }
 
--- a/src/discovery/dnssd/instance_assembler.hpp
+++ b/src/discovery/dnssd/instance_assembler.hpp
@@ -1,4 +1,4 @@
-// Instances out of the SRV, TXT and address records that describe them.
+// Assembles instances from the SRV, TXT and address records that describe them.
 #pragma once
 
 #include <map>
@@ -13,33 +13,34 @@
 
 namespace stonebay {
 
-/// Assembles the instances of a service (RFC 6763 sections 4 to 6) from a RecordCache, in which it tracks the
-/// records that it needs. An instance that lacks a record keeps its last state until that record has been
-/// queried. Pure.
+/// Assembles the instances of a service (RFC 6763 sections 4 to 6) from the records in a RecordCache, and
+/// makes the cache track the records that it needs. If a record has not been queried yet, its instance keeps
+/// its last state. Pure.
 class InstanceAssembler {
  public:
   /// `records` must outlive the assembler.
   InstanceAssembler(RecordCache& records, std::vector<GroupName> groups, std::optional<GroupId> defaultGroup);
 
-  /// Assembles all instances anew and removes those that are not listed.
+  /// Reassembles all listed instances and removes the others.
   void updateAll(const std::vector<dns::Name>& listed);
-  /// Assembles the instances to which the set of records belongs.
+  /// Reassembles the instances that use the record set of this question.
   void update(const dns::Question& question);
-  /// Drops what is remembered of instances that are not listed.
+  /// Drops the targets and selected addresses of instances that are not listed.
   void forgetUnlisted(const std::set<dns::Name>& listed);
 
-  /// Whether some instance's SRV record names this target.
+  /// Returns true if the selected SRV record of some instance has this target.
   bool isTarget(const dns::Name& name) const { return instancesByTarget_.count(name) > 0; }
-  /// The complete instances.
+  /// Returns the instances whose records are complete and valid.
   std::vector<Instance> instances() const;
-  /// Why the other instances are not usable, by name; for operators.
+  /// Returns why the other instances are not usable, by name; for operators.
   const std::map<std::string, std::string>& faults() const { return faults_; }
   void resetFaults(std::map<std::string, std::string> faults) { faults_ = std::move(faults); }
-  /// Changes whenever instances() or faults() may have changed.
+  /// Returns a number that changes whenever instances() or faults() may have changed.
   std::uint64_t version() const { return version_; }
 
  private:
-  // An instance, or what is wrong with it; neither while some record has still to be queried.
+  // An instance or, if its records are not usable, the fault. Neither is set while a record has yet to be
+  // queried.
   struct Assembly {
     std::optional<Instance> instance;
     std::string fault;
@@ -58,10 +59,10 @@
   const std::vector<GroupName> groups_;
   const std::optional<GroupId> defaultGroup_;
   std::map<dns::Name, Instance> instances_;
-  std::map<dns::Name, Address> addresses_;  // of each instance, the one in use
-  std::map<dns::Name, dns::Name> targets_;  // by instance
+  std::map<dns::Name, Address> addresses_;  // selected address, by instance
+  std::map<dns::Name, dns::Name> targets_;  // SRV target, by instance; empty: none
   std::map<dns::Name, std::set<dns::Name>> instancesByTarget_;
-  std::map<std::string, std::string> faults_;
+  std::map<std::string, std::string> faults_;  // by name
   std::uint64_t version_ = 0;
 };
 
--- a/src/discovery/dnssd/record_cache.cpp
+++ b/src/discovery/dnssd/record_cache.cpp
@@ -15,7 +15,7 @@
 constexpr Time kInitialBackoff = std::chrono::milliseconds(250);
 constexpr int kMaxDoublings = 10;
 constexpr double kBackoffJitter = 0.5;
-constexpr double kRandomRange = 4294967296.0;  // of a 32-bit generator
+constexpr double kRandomRange = 4294967296.0;  // number of values of the 32-bit generator
 
 bool isAddress(const Question& question) { return question.type == Type::A || question.type == Type::Aaaa; }
 
@@ -40,8 +40,8 @@
 
 Time RecordCache::backoff(int failures) {
   const Time doubled = kInitialBackoff * (std::int64_t{1} << std::min(failures - 1, kMaxDoublings));
-  const Time longest = std::max(settings_.maxRefresh, kInitialBackoff);
-  return scaled(std::min(doubled, longest), 1 - kBackoffJitter * randomFraction());
+  const Time maxBackoff = std::max(settings_.maxRefresh, kInitialBackoff);
+  return scaled(std::min(doubled, maxBackoff), 1 - kBackoffJitter * randomFraction());
 }
 
 RecordSet& RecordCache::track(const Question& question) { return sets_[question]; }
@@ -95,7 +95,7 @@
   std::map<Question, RecordData> additionals;
   for (const Record& record : records) {
     const Question question{record.name, record.type};
-    // Which instances there are is for the answer section of a PTR query alone to say.
+    // Instances are added and withdrawn only by the answer section of a PTR response.
     if (record.type == Type::Ptr || sets_.count(question) == 0) continue;
     if (dns::isWithin(record.name, domain)) additionals[question].add(record);
   }
@@ -109,8 +109,8 @@
   return stored;
 }
 
-// Additionals have all addresses of a target (RFC 6763 section 12.2): a target that comes with IPv6 addresses
-// alone has no IPv4 address.
+// Marks the IPv4 addresses of a target as absent if the additional section has only IPv6 addresses for it,
+// because that section has all addresses of a target (RFC 6763 section 12.2).
 std::vector<Question> RecordCache::storeIpv6Only(Time now, const std::vector<Record>& records,
                                                  const Name& domain,
                                                  const std::map<Question, RecordData>& stored) {
--- a/src/discovery/dnssd/record_cache.hpp
+++ b/src/discovery/dnssd/record_cache.hpp
@@ -1,4 +1,4 @@
-// The DNS records of one service, and when each set of them has to be refreshed.
+// The DNS records of one service, with the time at which each record set is due for a refresh.
 #pragma once
 
 #include <functional>
@@ -17,23 +17,24 @@
 /// The records with the same name and type.
 struct RecordSet {
   enum class State { Unknown, Known, Absent } state = State::Unknown;
-  std::vector<dns::Data> data;  ///< empty unless Known
-  Time refreshAt{};             ///< when it has to be queried (again); a new set at once
-  bool inFlight = false;        ///< a query for it is in flight
-  bool attempted = false;       ///< a query for it has ended, or it has come with another response
-  int failures = 0;             ///< of queries, in a row
+  std::vector<dns::Data> data;  ///< empty unless the state is Known
+  Time refreshAt{};             ///< when the set is due for a query; 0 (due now) for a new set
+  bool inFlight = false;        ///< a query for this set is in flight
+  bool attempted = false;       ///< a query for this set has ended, or another response had its records
+  int failures = 0;             ///< number of consecutive failed queries
 };
 
-/// Holds the record sets that are tracked. A set is refreshed after its TTL, bounded by the settings and
-/// shortened by a random part of up to `jitter`, so that proxies that were started together drift apart. A
-/// set that cannot be refreshed keeps its data; only a negative response removes it. Pure.
+/// Stores the tracked record sets. A set is due for a refresh after its TTL, which is bounded by the settings
+/// and shortened by a random fraction of up to `jitter`, so that proxies that were started together do not
+/// stay synchronized. A set that cannot be refreshed keeps its data; only a negative response removes the
+/// data. Pure.
 class RecordCache {
  public:
   RecordCache(DnsSdSettings settings, std::uint64_t seed);
 
-  /// The set for a question; it is tracked from here on.
+  /// Returns the set for a question, and tracks it from then on.
   RecordSet& track(const dns::Question& question);
-  /// Null when the set is not tracked.
+  /// Returns null if the set is not tracked.
   RecordSet* find(const dns::Question& question);
   const RecordSet* find(const dns::Question& question) const;
   /// Stops tracking the sets for which `isNeeded` is false.
@@ -43,18 +44,19 @@
   void storeNegative(Time now, const dns::Question& question, std::uint32_t ttl);
   /// Schedules the next attempt with an exponential backoff.
   void onQueryFailure(Time now, RecordSet& set);
-  /// Stores the additional records of a response that belong to tracked sets and stand within the domain; the
-  /// rest may come from anyone. Returns the questions whose sets were stored.
+  /// Stores the additional records of a response that belong to tracked sets and are within the domain.
+  /// Others are ignored, because the server may have no authority over them. Returns the questions whose sets
+  /// were stored.
   std::vector<dns::Question> storeAdditionals(Time now, const std::vector<dns::Record>& records,
                                               const dns::Name& domain);
 
   bool isAnyDue(Time now) const;
-  /// The sets to be queried, the one that is overdue longest first; among equals the addresses come last,
-  /// since the answer for a SRV record may bring them along.
+  /// Returns the sets to be queried, those that have been due longest first. Among sets that became due at
+  /// the same time, addresses come last, because the response to an SRV query may include them.
   std::vector<dns::Question> due(Time now) const;
   std::size_t dueCount(Time now, dns::Type type) const;
   std::size_t inFlightCount() const;
-  /// The earliest refresh of a set that is not in flight.
+  /// Returns when the first of the sets without a query in flight is due; std::nullopt if there is none.
   std::optional<Time> nextRefreshAt() const;
   bool allAttempted() const;
 
--- a/src/discovery/dnssd/resolver.cpp
+++ b/src/discovery/dnssd/resolver.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 constexpr std::size_t kMaxDatagramBytes = 65535;
-// Bounds the work of one wake-up while the port is flooded with forged responses.
-constexpr int kMaxDatagramsPerWakeUp = 64;
+// Bounds the work of one pass of the event loop if the port is flooded with forged responses.
+constexpr int kMaxDatagramsPerPass = 64;
 constexpr std::size_t kTcpLengthBytes = 2;  // RFC 1035 section 4.2.2
 
-// A file descriptor with its owner.
+// Owns a file descriptor.
 class Socket {
  public:
   Socket() = default;
@@ -37,7 +37,7 @@
 const char* describeUnusable(dns::Rcode rcode) {
   switch (rcode) {
     case dns::Rcode::NoError:
-      return "NOERROR and nothing of use";
+      return "NOERROR without usable records";
     case dns::Rcode::FormErr:
       return "FORMERR";
     case dns::Rcode::ServFail:
@@ -49,7 +49,7 @@
     case dns::Rcode::Refused:
       return "REFUSED";
   }
-  return "an error of its own";
+  return "an unknown response code";
 }
 
 std::string withLengthPrefix(const std::string& message) {
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-// One question, put to one server after the other until one gives a usable response.
+// A lookup of one question. It queries the servers in turn until one gives a usable response.
 class Resolver::Lookup {
  public:
   Lookup(Resolver& resolver, dns::Question question, bool overTcp);
@@ -92,12 +92,12 @@
   Resolver& resolver_;
   const dns::Question question_;
   const bool startsWithTcp_;
-  std::vector<bool> attempted_;  // by server
+  std::vector<bool> attempted_;  // one flag per server
   Event timer_;
   Event event_;
   Socket udp_;
   BufferEvent tcp_;
-  std::size_t server_ = 0;
+  std::size_t server_ = 0;  // index of the current server
   std::uint16_t queryId_ = 0;
   bool started_ = false;
   std::string failure_ = "no name server";
@@ -110,7 +110,7 @@
       startsWithTcp_(overTcp),
       attempted_(resolver.settings_.servers.size()),
       timer_(event_new(resolver.base_, -1, 0, onEvent<&Lookup::onTimer>, this)) {
-  startTimer(timer_.get(), Time(0));  // the first attempt comes from the event loop
+  startTimer(timer_.get(), Time(0));  // the event loop starts the first attempt
 }
 
 void Resolver::Lookup::onTimer() {
@@ -140,8 +140,8 @@
   tryNextServer();
 }
 
-// Reports a failure from the event loop: if all servers fail within the call, the recursion would be as deep
-// as there are servers, and the handler would be called from within `resolve`.
+// Reports a failure from the event loop. An immediate report would recurse once per server if all servers
+// fail, and would call the handler from within `resolve`.
 void Resolver::Lookup::failDeferred(const char* reason) {
   deferredFailure_ = reason;
   event_.reset(event_new(resolver_.base_, -1, 0, onEvent<&Lookup::onDeferredFailure>, this));
@@ -172,7 +172,7 @@
 void Resolver::Lookup::sendUdp() {
   udp_.reset(::socket(server().data()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   const std::string query = encodeNewQuery();
-  // Connected: the kernel passes on only what comes from this server's address and port.
+  // On a connected socket, the kernel delivers only datagrams from this server's address and port.
   if (udp_.fd() < 0 || ::connect(udp_.fd(), server().data(), server().size()) != 0 ||
       ::send(udp_.fd(), query.data(), query.size(), 0) != static_cast<ssize_t>(query.size()))
     return failDeferred(std::strerror(errno));
@@ -183,26 +183,28 @@
 }
 
 void Resolver::Lookup::onUdpReadable() {
-  static char buffer[kMaxDatagramBytes];  // shared: there is one loop in one thread
-  for (int i = 0; i < kMaxDatagramsPerWakeUp; ++i) {
+  static char buffer[kMaxDatagramBytes];  // shared: all lookups run in one thread
+  for (int i = 0; i < kMaxDatagramsPerPass; ++i) {
     const ssize_t size = ::recv(udp_.fd(), buffer, sizeof buffer, 0);
     if (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) return;
-    if (size < 0) return onServerFailure(std::strerror(errno));  // ECONNREFUSED: nothing listens there
+    if (size < 0) return onServerFailure(std::strerror(errno));  // ECONNREFUSED: no server at this address
     auto message = dns::parse({buffer, static_cast<std::size_t>(size)});
     if (message && isResponse(*message)) return onResponse(std::move(*message), false);
   }
 }
 
-// RFC 5452 section 9.1: id, question and, by the connected socket, addresses and ports have to match.
+// RFC 5452 section 9.1: the id and the question must match. The connected socket ensures that the addresses
+// and ports match.
 bool Resolver::Lookup::isResponse(const dns::Message& message) const {
   if (!message.response || message.id != queryId_) return false;
   if (message.question) return *message.question == question_;
-  return message.rcode == dns::Rcode::FormErr;  // a server that cannot parse the question may leave it out
+  return message.rcode == dns::Rcode::FormErr;  // a server that cannot parse the question may omit it
 }
 
 void Resolver::Lookup::onResponse(dns::Message message, bool overTcp) {
   closeSockets();
-  if (message.rcode == dns::Rcode::FormErr && !resolver_.rejectsEdns_[server_]) {  // RFC 6891 section 7
+  // A server without support for EDNS may respond with FORMERR (RFC 6891 section 7): retries without EDNS.
+  if (message.rcode == dns::Rcode::FormErr && !resolver_.rejectsEdns_[server_]) {
     resolver_.rejectsEdns_[server_] = true;
     return send(overTcp);
   }
@@ -229,7 +231,7 @@
       tcp_.get(), [](bufferevent*, void* self) { static_cast<Lookup*>(self)->onTcpReadable(); }, nullptr,
       [](bufferevent*, short what, void* self) {
         if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR))
-          static_cast<Lookup*>(self)->onServerFailure("the TCP connection ended or never came up");
+          static_cast<Lookup*>(self)->onServerFailure("the TCP connection was closed or could not be opened");
       },
       this);
 }
@@ -244,7 +246,8 @@
   const auto* const frame =
       reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(frameBytes)));
   auto message = dns::parse({frame + kTcpLengthBytes, messageBytes});
-  if (!message || !isResponse(*message)) return onServerFailure("it answers over TCP what was not asked");
+  if (!message || !isResponse(*message))
+    return onServerFailure("its TCP response is malformed or does not match the query");
   onResponse(std::move(*message), true);
 }
 
@@ -265,7 +268,7 @@
 
 void Resolver::finish(Lookup& lookup, const Result& result) {
   const auto it = lookups_.find(&lookup);
-  // The lookup calls this function and must outlive the call.
+  // The lookup is the caller of this function, so it must live until the end of the call.
   const std::unique_ptr<Lookup> owner = std::move(it->second);
   lookups_.erase(it);
   const dns::Question question = owner->question();
--- a/src/discovery/dnssd/resolver.hpp
+++ b/src/discovery/dnssd/resolver.hpp
@@ -16,17 +16,18 @@
 
 namespace stonebay {
 
-/// Sends queries to the configured name servers, and over TCP after truncation or on demand (RFC 1035, 5452,
-/// 6891, 7766). Each query has a random id and a socket of its own, hence a port that the system selects; a
-/// response from elsewhere, or with another id or question, is ignored and the wait goes on.
+/// Sends queries to the configured name servers over UDP, or over TCP after truncation or on request (RFC
+/// 1035, 5452, 6891, 7766). Each query has a random id and its own socket, so that the system selects its
+/// source port. Over UDP, a datagram from another address, or with another id or question, is ignored, and
+/// the resolver keeps waiting for the response.
 class Resolver {
  public:
-  /// How a lookup ended.
+  /// The result of a lookup.
   struct Result {
-    bool ok = false;       ///< some server gave a response that is usable; see classify
-    dns::Message message;  ///< ok only
+    bool ok = false;       ///< a server gave a usable response; see classify
+    dns::Message message;  ///< set only if ok
     bool overTcp = false;
-    std::string failure;  ///< not ok: what the last server did
+    std::string failure;  ///< set only if not ok: how the last server failed
   };
   using ResultHandler = std::function<void(const dns::Question&, const Result&)>;
 
@@ -35,8 +36,9 @@
   Resolver(const Resolver&) = delete;
   Resolver& operator=(const Resolver&) = delete;
 
-  /// Tries one server after the other. Ends in one call of the handler, from the event loop and never within
-  /// this call. Lookups that are in flight when the Resolver is destroyed end silently.
+  /// Starts a lookup, which tries the servers in turn. Calls the handler once, from the event loop and never
+  /// within this call. The handler is not called for lookups that are in flight when the Resolver is
+  /// destroyed.
   void resolve(const dns::Question& question, bool overTcp);
 
  private:
@@ -48,7 +50,7 @@
   const DnsSdSettings settings_;
   const ResultHandler onResult_;
   NameServers servers_;
-  std::vector<bool> rejectsEdns_;  // by server
+  std::vector<bool> rejectsEdns_;  // one flag per server
   std::random_device random_;
   std::unordered_map<Lookup*, std::unique_ptr<Lookup>> lookups_;
 };
--- a/src/discovery/dnssd/response.cpp
+++ b/src/discovery/dnssd/response.cpp
@@ -24,7 +24,7 @@
                                     [&](const dns::Record& record) { return isAnswerTo(question, record); });
   if (positive) return ResponseKind::Positive;
   if (message.rcode == dns::Rcode::NoError && !message.answers.empty()) return ResponseKind::Unusable;
-  // A negative response has the zone's SOA record or comes from a server of the zone itself.
+  // A negative response has the SOA record of the zone, or comes from an authoritative server of the zone.
   return message.authoritative || findSoa(message) ? ResponseKind::Negative : ResponseKind::Unusable;
 }
 
--- a/src/discovery/dnssd/txt_record.cpp
+++ b/src/discovery/dnssd/txt_record.cpp
@@ -8,19 +8,19 @@
 namespace stonebay {
 namespace {
 
-constexpr std::size_t kMaxTextBytes = 63;  // of a zone or a kind
+constexpr std::size_t kMaxTextBytes = 63;  // for a zone or a kind
 constexpr double kMaxWeight = 1e6;
 
 template <typename T>
 bool parseNumber(const std::string& text, T& value) {
   const char* const end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, value);
-  return error == std::errc() && stop == end;
+  const auto [parsedEnd, error] = std::from_chars(text.data(), end, value);
+  return error == std::errc() && parsedEnd == end;
 }
 
 std::string lowerCase(std::string text) {
-  for (char& next : text)
-    if (next >= 'A' && next <= 'Z') next = static_cast<char>(next - 'A' + 'a');
+  for (char& character : text)
+    if (character >= 'A' && character <= 'Z') character = static_cast<char>(character - 'A' + 'a');
   return text;
 }
 
@@ -31,13 +31,13 @@
     for (const std::string& string : strings) {
       const std::size_t equals = string.find('=');
       const std::string key = lowerCase(string.substr(0, equals));
-      if (key.empty()) continue;  // RFC 6763 section 6.4
+      if (key.empty()) continue;  // must be ignored (RFC 6763 section 6.4)
       values_.emplace(key, equals == std::string::npos ? std::string() : string.substr(equals + 1));
     }
   }
 
   bool has(const std::string& key) const { return values_.count(key) > 0; }
-  // Empty when the key is missing.
+  // Returns an empty string if the key is missing.
   std::string value(const std::string& key) const {
     const auto it = values_.find(key);
     return it == values_.end() ? std::string() : it->second;
@@ -58,11 +58,11 @@
     return std::nullopt;
   }
   const std::string text = pairs.value("group");
-  const auto named =
+  const auto groupWithName =
       std::find_if(groups.begin(), groups.end(), [&](const GroupName& group) { return group.name == text; });
   std::uint16_t number = 0;
-  if (named != groups.end())
-    instance.group = named->id;
+  if (groupWithName != groups.end())
+    instance.group = groupWithName->id;
   else if (parseNumber(text, number))
     instance.group = number;
   else
@@ -97,11 +97,11 @@
   instance.kind = pairs.value("kind");
   const std::string weight = pairs.value("weight");
   if (!weight.empty() && !parseWeight(weight, instance.weight))
-    return pairs.error("weight", "no number above 0");
+    return pairs.error("weight", "not a number above 0");
   if (auto error = parseState(pairs, instance)) return error;
   const std::string started = pairs.value("started");
   if (!started.empty() && (!parseNumber(started, instance.startedMs) || instance.startedMs < 0))
-    return pairs.error("started", "no Unix time in milliseconds");
+    return pairs.error("started", "not a Unix time in milliseconds");
   return std::nullopt;
 }
 
--- a/src/discovery/endpoint_feed.cpp
+++ b/src/discovery/endpoint_feed.cpp
@@ -11,7 +11,8 @@
 constexpr std::chrono::microseconds kFailureLogInterval = std::chrono::seconds(30);
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// A line for each of a change's first members, and one with the number of all: a list may hold thousands.
+// Limits the event 'member' to the first instances of an update, as a list may have thousands. For registry
+// lists, the event 'list_received' has the total number.
 constexpr std::size_t kMaxLoggedInstances = 20;
 
 void logInstance(const Instance& instance) {
@@ -23,9 +24,9 @@
             {"started_ms", instance.startedMs}});
 }
 
-void logMembers(const EndpointListUpdate& list) {
-  const std::size_t count = std::min(list.instances.size(), kMaxLoggedInstances);
-  for (std::size_t i = 0; i < count; ++i) logInstance(list.instances[i]);
+void logInstances(const EndpointListUpdate& update) {
+  const std::size_t count = std::min(update.instances.size(), kMaxLoggedInstances);
+  for (std::size_t i = 0; i < count; ++i) logInstance(update.instances[i]);
 }
 
 }  // namespace
@@ -52,39 +53,40 @@
   publishUpdates();
 }
 
-void EndpointFeed::onListFailure(const std::string& why) {
+void EndpointFeed::onListFailure(const std::string& reason) {
   const auto now = clock_.now();
-  tracker_.onFailure(now, why);
-  logFailure(now, why);
-  unpublishedFailure_ = why;
+  tracker_.onFailure(now, reason);
+  logFailure(now, reason);
+  pendingFailure_ = reason;
   publishUpdates();
 }
 
-void EndpointFeed::logFailure(std::chrono::microseconds now, const std::string& why) {
+void EndpointFeed::logFailure(std::chrono::microseconds now, const std::string& reason) {
   const bool loggedBefore = failureLoggedAt_ != std::chrono::microseconds(0);
   if (loggedBefore && now - failureLoggedAt_ < kFailureLogInterval) return;
   failureLoggedAt_ = now;
   const auto updatedAt = tracker_.lastUpdateAt();
   if (!updatedAt) {
-    logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list", "none yet"}});
+    logEvent(LogLevel::Warning, "discovery_failed", {{"why", reason}, {"list", "none yet"}});
     return;
   }
   const double ageSeconds = static_cast<double>((now - *updatedAt).count()) / kMicrosecondsPerSecond;
-  logEvent(LogLevel::Warning, "discovery_failed", {{"why", why}, {"list_age_s", ageSeconds}});
+  logEvent(LogLevel::Warning, "discovery_failed", {{"why", reason}, {"list_age_s", ageSeconds}});
 }
 
 void EndpointFeed::publishUpdates() {
   const auto now = clock_.now();
   if (auto update = tracker_.takeUpdate(now)) {
-    logMembers(*update);
+    logInstances(*update);
     handler_.onEndpointList(std::move(*update));
   }
   if (tracker_.hasMoreUpdates()) {
     startTimer(timer_.get(), std::chrono::microseconds(0));
     return;
   }
-  // Behind the list that came before it: a list ends a failure.
-  if (unpublishedFailure_) handler_.onListFailure(*std::exchange(unpublishedFailure_, std::nullopt));
+  // A failure is reported after the lists that were received before it, because the handler takes any list as
+  // the end of a failure.
+  if (pendingFailure_) handler_.onListFailure(*std::exchange(pendingFailure_, std::nullopt));
   if (const auto deadline = tracker_.nextDeadline())
     startTimer(timer_.get(), *deadline - now);
   else
--- a/src/discovery/endpoint_feed.hpp
+++ b/src/discovery/endpoint_feed.hpp
@@ -1,4 +1,4 @@
-// Connects a source of the endpoint list to its handler through an EndpointTracker.
+// Connects a discovery source, through an EndpointTracker, to the handler of the endpoint list.
 #pragma once
 
 #include <optional>
@@ -10,20 +10,22 @@
 
 namespace stonebay {
 
-/// Gives an EndpointTracker the time, wakes it for its deadlines, passes its updates on and logs them.
+/// Passes the events of a discovery source to an EndpointTracker, runs the timer for its deadlines, and
+/// delivers its updates to the handler. Logs updates and failures.
 class EndpointFeed final : public EndpointListHandler {
  public:
   /// `handler` must outlive the feed.
   EndpointFeed(event_base* base, const Clock& clock, EndpointListHandler& handler,
                const EndpointTrackerPolicy& policy);
 
-  /// The handler has these from elsewhere. To be called before anything else.
+  /// Treats the instances as published already: the handler knows them from the configuration. Must be called
+  /// before any other function.
   void assumePublished(const std::vector<Instance>& instances) { tracker_.assumePublished(instances); }
-  /// From a source that delivers complete lists only; see EndpointTracker::onSnapshot.
+  /// Handles a list of a source that delivers complete lists only; see EndpointTracker::onSnapshot.
   void onSnapshot(std::vector<Instance> instances, bool initial);
-  /// From a source with generations; see EndpointTracker::onChange.
+  /// Handles a list of a source with generations; see EndpointTracker::onChange.
   void onEndpointList(EndpointListUpdate list) override;
-  void onListFailure(const std::string& why) override;
+  void onListFailure(const std::string& reason) override;
   void onListInput() override { handler_.onListInput(); }
   std::uint64_t generation() const override { return tracker_.generation(); }
 
@@ -32,14 +34,15 @@
 
  private:
   void publishUpdates();
-  void logFailure(std::chrono::microseconds now, const std::string& why);
+  void logFailure(std::chrono::microseconds now, const std::string& reason);
 
   const Clock& clock_;
   EndpointListHandler& handler_;
   EndpointTracker tracker_;
   Event timer_;
-  std::optional<std::string> unpublishedFailure_;  // came while parts of a list were still to be published
-  std::chrono::microseconds failureLoggedAt_{};
+  // Reported to the handler after all pending parts of a list.
+  std::optional<std::string> pendingFailure_;
+  std::chrono::microseconds failureLoggedAt_{};  // 0: no failure has been logged
 };
 
 }  // namespace stonebay
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -35,27 +35,30 @@
   Instance instance;
   instance.name = std::string(jsonField<std::string_view>(object, "instanceId", path));
   instance.state = parseLifecycle(jsonField<std::string_view>(object, "lifecycle", path), path);
-  // An instance that is gone may come with its name alone.
-  const bool optional = instance.state == Lifecycle::Removed;
-  const auto expects = [&](const char* key) { return !optional || object[key].error() == simdjson::SUCCESS; };
-  if (expects("hostPort")) instance.address = readAddress(object, path);
-  if (expects("zone")) instance.zone = std::string(jsonField<std::string_view>(object, "zone", path));
+  // A removed instance needs no field but its name.
+  const bool fieldsOptional = instance.state == Lifecycle::Removed;
+  const auto shouldRead = [&](const char* key) {
+    return !fieldsOptional || object[key].error() == simdjson::SUCCESS;
+  };
+  if (shouldRead("hostPort")) instance.address = readAddress(object, path);
+  if (shouldRead("zone")) instance.zone = std::string(jsonField<std::string_view>(object, "zone", path));
   std::string_view kind;
   if (object["machineType"].get(kind) == simdjson::SUCCESS) instance.kind = std::string(kind);
-  if (expects("cell")) instance.group = readGroup(object, path);
-  if (expects("weight")) instance.weight = jsonField<double>(object, "weight", path);
-  if (expects("startedAtMs")) instance.startedMs = jsonField<std::int64_t>(object, "startedAtMs", path);
+  if (shouldRead("cell")) instance.group = readGroup(object, path);
+  if (shouldRead("weight")) instance.weight = jsonField<double>(object, "weight", path);
+  if (shouldRead("startedAtMs")) instance.startedMs = jsonField<std::int64_t>(object, "startedAtMs", path);
   if (instance.startedMs < 0) throw InvalidInput("key " + pathText(path) + "startedAtMs: negative");
   return instance;
 }
 
-// Whether the text ends in the key of the array of instances, its colon and its bracket.
+// Returns true if the text, which ends with an opening bracket, ends with the key "instances", a colon and
+// the bracket.
 bool endsInInstancesKey(std::string_view text) {
   constexpr std::string_view kKey = "\"instances\"";
   const auto trim = [&text] {
     while (!text.empty() && kWhiteSpace.find(text.back()) != std::string_view::npos) text.remove_suffix(1);
   };
-  text.remove_suffix(1);  // the bracket
+  text.remove_suffix(1);  // the opening bracket
   trim();
   if (text.empty() || text.back() != ':') return false;
   text.remove_suffix(1);
@@ -85,7 +88,8 @@
 
 Address parseAddress(std::string_view text, const std::string& key) {
   const auto address = Address::parse(text);
-  if (!address) throw InvalidInput("key " + key + ": '" + std::string(text) + "' is no address with a port");
+  if (!address)
+    throw InvalidInput("key " + key + ": '" + std::string(text) + "' is not an address with a port");
   return *address;
 }
 
@@ -113,19 +117,20 @@
   for (const char next : bytes) {
     if (depth_ == 0) {
       if (kWhiteSpace.find(next) != std::string_view::npos) continue;
-      if (next != '{') throw InvalidInput("list: no object");
+      if (next != '{') throw InvalidInput("list: not an object");
     }
-    if (++length_ > kMaxListBytes) throw InvalidInput("list: too long");
-    if (inInstances_ && element_.empty() && !insideString_ && takeSeparator(next)) continue;
+    if (++listBytes_ > kMaxListBytes) throw InvalidInput("list: too long");
+    if (inInstances_ && instanceJson_.empty() && !insideString_ && skipSeparator(next)) continue;
     append(next);
     if (insideString_) continue;
-    if (depth_ == kInstancesDepth && !element_.empty()) finishElement();
+    if (depth_ == kInstancesDepth && !instanceJson_.empty()) finishInstance();
     if (depth_ == 0) finishList(onList);
   }
 }
 
-// Between the elements of the array of instances. False: it is none of the array's own separators.
-bool EndpointListReader::takeSeparator(char next) {
+// Handles a character between the elements of the array "instances". Returns true if it is white space or a
+// comma, which is not stored; false if it starts an instance or ends the array.
+bool EndpointListReader::skipSeparator(char next) {
   if (kWhiteSpace.find(next) != std::string_view::npos) return true;
   if (next == ',') {
     if (!needsComma_) throw InvalidInput("list: a comma without an instance before it");
@@ -133,19 +138,18 @@
     return true;
   }
   if (next == ']') {
-    if (!needsComma_ && !instances_.empty())
-      throw InvalidInput("list: a comma without an instance behind it");
+    if (!needsComma_ && !instances_.empty()) throw InvalidInput("list: a comma without an instance after it");
     inInstances_ = false;
     return false;
   }
-  if (next != '{') throw InvalidInput("list: an instance is no object");
-  if (needsComma_) throw InvalidInput("list: no comma between instances");
+  if (next != '{') throw InvalidInput("list: an instance is not an object");
+  if (needsComma_) throw InvalidInput("list: missing comma between instances");
   return false;
 }
 
 void EndpointListReader::append(char next) {
-  const bool isOfElement = inInstances_ && depth_ >= kInstancesDepth;
-  (isOfElement ? element_ : object_).push_back(next);
+  const bool isPartOfInstance = inInstances_ && depth_ >= kInstancesDepth;
+  (isPartOfInstance ? instanceJson_ : listJson_).push_back(next);
   if (insideString_) {
     insideString_ = escaped_ || next != '"';
     escaped_ = !escaped_ && next == '\\';
@@ -154,23 +158,23 @@
   insideString_ = next == '"';
   if (next == '{' || next == '[') ++depth_;
   if (next == '}' || next == ']') --depth_;
-  if (next == '[' && depth_ == kInstancesDepth && endsInInstancesKey(object_)) inInstances_ = true;
+  if (next == '[' && depth_ == kInstancesDepth && endsInInstancesKey(listJson_)) inInstances_ = true;
 }
 
-void EndpointListReader::finishElement() {
+void EndpointListReader::finishInstance() {
   static const std::string array = "instances";
-  instances_.push_back(readInstance(parse(element_), {array, instances_.size()}));
-  element_.clear();
+  instances_.push_back(readInstance(parse(instanceJson_), {array, instances_.size()}));
+  instanceJson_.clear();
   needsComma_ = true;
 }
 
 void EndpointListReader::finishList(const std::function<void(EndpointListUpdate)>& onList) {
-  EndpointListUpdate list = readInstances(parse(object_), "");
+  EndpointListUpdate list = readInstances(parse(listJson_), "");
   list.instances = std::move(instances_);
-  object_.clear();
+  listJson_.clear();
   instances_.clear();
   needsComma_ = false;
-  length_ = 0;
+  listBytes_ = 0;
   onList(std::move(list));
 }
 
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// The endpoint list as service discovery delivers it, and the parser of the registry's JSON form.
+// The endpoint list that service discovery delivers, and the parser of the registry's JSON form.
 #pragma once
 
 #include <simdjson.h>
@@ -16,82 +16,84 @@
 
 namespace stonebay {
 
-/// As the registry names it: active, leaving or left.
+/// Returns the registry's name of a lifecycle state: active, leaving or left.
 const char* lifecycleName(Lifecycle state);
 
-/// One service instance as discovery describes it.
+/// A service instance: one endpoint as discovery describes it.
 struct Instance {
   std::string name;
-  Address address;  ///< none when not given, as is allowed for an instance that is gone
+  Address address;  ///< none if not given, which only the state Removed allows
   std::string zone;
-  std::string kind;  ///< machine type; empty when not given
+  std::string kind;  ///< machine type; empty: unknown
   GroupId group = 0;
   Lifecycle state = Lifecycle::Ready;
   double weight = 1;
-  std::int64_t startedMs = 0;  ///< Unix time in milliseconds; 0: long ago
+  std::int64_t startedMs = 0;  ///< Unix time in milliseconds; 0: not given, or long ago
 };
 bool operator==(const Instance& left, const Instance& right);
 inline bool operator!=(const Instance& left, const Instance& right) { return !(left == right); }
 
-/// A complete list or a change of one.
+/// A complete endpoint list, or the changes to one.
 struct EndpointListUpdate {
   std::uint64_t generation = 0;
-  bool reset = false;  ///< the list is complete: an instance that it lacks is gone
+  bool reset = false;  ///< the list is complete: instances that are not in it have been removed
   std::vector<Instance> instances;
 };
 
-/// Receives the endpoint list from its source: a complete list first, then changes, or the source's failures.
+/// Receives the endpoint list from a discovery source: first a complete list, then changes. Also receives the
+/// failures of the source.
 class EndpointListHandler {
  public:
   virtual ~EndpointListHandler() = default;
   virtual void onEndpointList(EndpointListUpdate) = 0;
-  virtual void onListFailure(const std::string& why) = 0;
-  /// Bytes of a list have arrived; they are parsed after this call.
+  virtual void onListFailure(const std::string& reason) = 0;
+  /// Called when bytes of a list have arrived, before they are parsed.
   virtual void onListInput() {}
-  /// Generation of the last list that was received; 0 before the first.
+  /// Returns the generation of the last list received; 0 before the first one.
   virtual std::uint64_t generation() const = 0;
 };
 
-/// Input that cannot be parsed; the message names the offending key.
+/// Thrown for input that cannot be parsed. The message names the invalid key.
 struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Address::parse. Throws InvalidInput, which names `key`, when the text is not an address with a port.
+/// Like Address::parse, but throws InvalidInput, which names `key`, if the text is not an address with a
+/// port.
 Address parseAddress(std::string_view text, const std::string& key);
 
 /// Parses one list in the registry's JSON form. Throws InvalidInput.
 EndpointListUpdate parseEndpointList(std::string_view json);
 
-/// Splits a byte stream into endpoint lists: consecutive JSON objects, separated by white space or by
-/// nothing. The stream may be cut anywhere. Each instance is parsed as soon as it is complete, so that the
-/// work for a long list is spread over its arrival.
+/// Incremental parser for a byte stream of endpoint lists, which are consecutive JSON objects with optional
+/// white space between them. The stream may be split into chunks at any byte. Each instance is parsed as soon
+/// as it is complete, so that the work for a long list is spread over the time in which it arrives.
 class EndpointListReader {
  public:
-  /// Calls `onList` for each list that is complete, in order. Throws InvalidInput; the lists before the fault
-  /// have been delivered by then.
+  /// Calls `onList` for each complete list, in order. Throws InvalidInput at the first error, after `onList`
+  /// has been called for all lists before it.
   void feed(std::string_view bytes, const std::function<void(EndpointListUpdate)>& onList);
 
  private:
-  // Open brackets around the elements of the array of instances.
+  // Number of open brackets around each element of the array "instances".
   static constexpr int kInstancesDepth = 2;
 
-  bool takeSeparator(char next);
+  bool skipSeparator(char next);
   void append(char next);
-  void finishElement();
+  void finishInstance();
   void finishList(const std::function<void(EndpointListUpdate)>& onList);
   simdjson::dom::element parse(const std::string& json);
 
   simdjson::dom::parser parser_;
-  std::string object_;               // the list's part that has arrived, without its instances
-  std::string element_;              // the part of an instance that has arrived
-  std::vector<Instance> instances_;  // the list's complete ones
-  std::size_t length_ = 0;           // of the list's part that has arrived
-  bool inInstances_ = false;         // within the array of instances
-  bool needsComma_ = false;          // before the next instance
-  int depth_ = 0;                    // open brackets
+  std::string listJson_;             // received part of the current list, without its instances
+  std::string instanceJson_;         // received part of the current instance
+  std::vector<Instance> instances_;  // complete instances of the current list
+  std::size_t listBytes_ = 0;        // received bytes of the current list
+  bool inInstances_ = false;         // inside the array "instances"
+  bool needsComma_ = false;          // a comma must precede the next instance
+  int depth_ = 0;                    // number of open brackets
   bool insideString_ = false;
-  bool escaped_ = false;  // the previous character was a backslash within a string
+  bool escaped_ = false;  // the previous character was a backslash that starts an escape
 };
 
 }  // namespace stonebay
--- a/src/discovery/endpoint_tracker.cpp
+++ b/src/discovery/endpoint_tracker.cpp
@@ -11,10 +11,10 @@
 namespace stonebay {
 namespace {
 
-// An entry that is gone is kept until its penalty has decayed below this.
+// A withdrawn entry is removed when its penalty has decayed below this value.
 constexpr double kNegligiblePenalty = 0.02;
-// Between two parts of a list the event loop turns to requests.
-constexpr std::ptrdiff_t kMaxPublishedAtOnce = 100;
+// Long lists are split into updates of this size, so that the event loop can process requests between them.
+constexpr std::ptrdiff_t kMaxInstancesPerUpdate = 100;
 
 std::int64_t unixMs(EndpointTracker::Time time) { return time.count() / 1000; }
 
@@ -23,7 +23,7 @@
   return instance;
 }
 
-// A name stands for one server: with another address or in another group it is another server.
+// The same name with another address or in another group is another server.
 bool isSameServer(const Instance& left, const Instance& right) {
   return left.address == right.address && left.group == right.group;
 }
@@ -46,14 +46,14 @@
   return "";
 }
 
-void EndpointTracker::appear(Entry& entry, Time now, bool initial) const {
+void EndpointTracker::markPresent(Entry& entry, Time now, bool initial) const {
   entry.present = true;
   entry.presenceChangedAt = now;
   entry.inferredStartMs = initial && entry.withdrawals == 0 ? 0 : unixMs(now);
   entry.penalty.onReturn(policy_.damping, now);
 }
 
-void EndpointTracker::withdraw(Entry& entry, Time now) const {
+void EndpointTracker::markWithdrawn(Entry& entry, Time now) const {
   entry.present = false;
   entry.presenceChangedAt = now;
   entry.penalty.onWithdrawal(policy_.damping, now);
@@ -62,7 +62,7 @@
 
 void EndpointTracker::onSourceDelivered(Time now) {
   hasList_ = true;
-  expired_ = false;
+  listExpired_ = false;
   lastUpdateAt_ = now;
   failingSince_.reset();
 }
@@ -77,7 +77,7 @@
   const std::vector<WithdrawnServer> withdrawn = withdrawMissing(now, instances);
   for (Instance& instance : instances)
     updateEntry(now, std::move(instance), withdrawn, initial || isFirstList);
-  removeExpiredEntries(now);
+  removeWithdrawnEntries(now);
 }
 
 std::vector<EndpointTracker::WithdrawnServer> EndpointTracker::withdrawMissing(
@@ -88,7 +88,7 @@
   for (auto& [name, entry] : entries_) {
     if (!entry.present || listed.count(name) > 0) continue;
     withdrawn.push_back({entry.instance.address, entry.instance.group, entry.inferredStartMs});
-    withdraw(entry, now);
+    markWithdrawn(entry, now);
   }
   return withdrawn;
 }
@@ -97,8 +97,9 @@
                                   bool initial) {
   Entry& entry = entries_[instance.name];
   if (!entry.present) {
-    appear(entry, now, initial);
-    // Renamed servers keep their start time: a zone that is published under new names is not a cold fleet.
+    markPresent(entry, now, initial);
+    // A renamed server keeps its start time: renaming all instances of a zone must not put them all into slow
+    // start.
     for (const WithdrawnServer& server : withdrawn)
       if (server.address == instance.address && server.group == instance.group)
         entry.inferredStartMs = server.inferredStartMs;
@@ -117,19 +118,19 @@
   sourceHasGenerations_ = true;
   onSourceDelivered(now);
   generation_ = list.generation;
-  std::vector<Instance> changes = list.reset ? changesOf(list) : std::move(list.instances);
+  std::vector<Instance> changes = list.reset ? findChanges(list) : std::move(list.instances);
   for (const Instance& instance : changes) applyChange(now, instance);
-  addUnpublished(std::move(changes));
+  queueUpdates(std::move(changes));
 }
 
-// What a complete list says that the handler does not know.
-std::vector<Instance> EndpointTracker::changesOf(const EndpointListUpdate& list) {
+// Returns the differences between a complete list and the list that the handler has.
+std::vector<Instance> EndpointTracker::findChanges(const EndpointListUpdate& list) {
   std::vector<Instance> changes;
   std::unordered_set<std::string_view> listed;
   for (const Instance& instance : list.instances) {
     listed.insert(instance.name);
-    const auto known = entries_.find(instance.name);
-    if (known == entries_.end() || known->second.instance != instance) changes.push_back(instance);
+    const auto it = entries_.find(instance.name);
+    if (it == entries_.end() || it->second.instance != instance) changes.push_back(instance);
   }
   for (const auto& [name, entry] : entries_)
     if (listed.count(name) == 0) changes.push_back(withState(entry.instance, Lifecycle::Removed));
@@ -149,18 +150,21 @@
   entry.published = instance;
 }
 
-// A list that brings nothing new is passed on all the same: it ends a failure.
-void EndpointTracker::addUnpublished(std::vector<Instance> changes) {
-  const auto withdraws = [](const Instance& instance) { return instance.state != Lifecycle::Ready; };
-  std::stable_partition(changes.begin(), changes.end(), withdraws);
+// Queues at least one update, even if there are no changes: the handler takes any list as the end of a
+// failure.
+void EndpointTracker::queueUpdates(std::vector<Instance> changes) {
+  const auto isDrainingOrRemoved = [](const Instance& instance) {
+    return instance.state != Lifecycle::Ready;
+  };
+  std::stable_partition(changes.begin(), changes.end(), isDrainingOrRemoved);
   auto next = std::make_move_iterator(changes.begin());
   const auto end = std::make_move_iterator(changes.end());
   do {
-    const auto count = std::min<std::ptrdiff_t>(end - next, kMaxPublishedAtOnce);
+    const auto count = std::min<std::ptrdiff_t>(end - next, kMaxInstancesPerUpdate);
     EndpointListUpdate part;
     part.generation = generation_;
     part.instances.assign(next, next + count);
-    unpublishedLists_.push_back(std::move(part));
+    pendingUpdates_.push_back(std::move(part));
     next += count;
   } while (next != end);
 }
@@ -176,19 +180,19 @@
 }
 
 std::optional<EndpointTracker::Time> EndpointTracker::nextDeadline() const {
-  if (sourceHasGenerations_) return std::nullopt;  // nothing of it is held back, and it does not expire
+  if (sourceHasGenerations_) return std::nullopt;  // never suppressed, never expires
   std::optional<Time> deadline;
-  const auto consider = [&](Time at) { deadline = deadline ? std::min(*deadline, at) : at; };
+  const auto include = [&](Time time) { deadline = deadline ? std::min(*deadline, time) : time; };
   for (const auto& [name, entry] : entries_)
-    if (entry.present && entry.penalty.isSuppressed()) consider(entry.penalty.suppressedUntil());
-  if (const auto expiresAt = listExpiresAt(); expiresAt && !expired_) consider(*expiresAt);
+    if (entry.present && entry.penalty.isSuppressed()) include(entry.penalty.suppressedUntil());
+  if (const auto expiresAt = listExpiresAt(); expiresAt && !listExpired_) include(*expiresAt);
   return deadline;
 }
 
 std::optional<EndpointListUpdate> EndpointTracker::takeUpdate(Time now) {
-  if (!unpublishedLists_.empty()) {
-    EndpointListUpdate list = std::move(unpublishedLists_.front());
-    unpublishedLists_.pop_front();
+  if (!pendingUpdates_.empty()) {
+    EndpointListUpdate list = std::move(pendingUpdates_.front());
+    pendingUpdates_.pop_front();
     return list;
   }
   if (sourceHasGenerations_) return std::nullopt;
@@ -196,7 +200,7 @@
   const bool isDue = deadline && *deadline <= now;
   if (!changed_ && !isDue) return std::nullopt;
   changed_ = false;
-  if (const auto expiresAt = listExpiresAt(); expiresAt && now >= *expiresAt) expired_ = true;
+  if (const auto expiresAt = listExpiresAt(); expiresAt && now >= *expiresAt) listExpired_ = true;
 
   const std::vector<NamedEntry> entries = entriesByPrecedence();
   updateExclusions(entries, now);
@@ -209,8 +213,8 @@
   return update;
 }
 
-// Who keeps an address that several names claim: published entries first, then the one that has been there
-// longest, then by name.
+// Returns the entries in the order in which they may claim an address: published entries first, then those
+// that have been present for longest, then by name.
 std::vector<EndpointTracker::NamedEntry> EndpointTracker::entriesByPrecedence() {
   std::vector<NamedEntry> entries;
   entries.reserve(entries_.size());
@@ -229,7 +233,7 @@
     entry->penalty.update(now);
     if (!entry->present) continue;
     const Address& address = entry->instance.address;
-    if (expired_)
+    if (listExpired_)
       entry->exclusion = ExclusionReason::ListExpired;
     else if (entry->penalty.isSuppressed())
       entry->exclusion = ExclusionReason::Flapping;
@@ -240,18 +244,19 @@
   }
 }
 
-// Adds what the handler does not know of the entry yet. Another server under a published name goes by a name
-// of its own ("s-1#2"), since the handler's id stands for one server.
+// Appends to `changes` the changes of the entry that the handler has not received. If a name has moved to
+// another server, the new server is published under a new name ("s-1#2"), because the handler's id of an
+// endpoint must always denote the same server.
 void EndpointTracker::publish(const std::string& name, Entry& entry, Time now,
                               std::vector<Instance>& changes) {
-  const bool wanted = entry.present && entry.exclusion == ExclusionReason::None;
+  const bool isEligible = entry.present && entry.exclusion == ExclusionReason::None;
   const bool publishedBefore = !entry.published.name.empty();
   const bool isOtherServer = publishedBefore && !isSameServer(entry.instance, entry.published);
-  if (entry.isPublished && (!wanted || isOtherServer)) {
+  if (entry.isPublished && (!isEligible || isOtherServer)) {
     changes.push_back(withState(entry.published, Lifecycle::Removed));
     entry.isPublished = false;
   }
-  if (!wanted) return;
+  if (!isEligible) return;
   if (isOtherServer) ++entry.incarnation;
   Instance next = entry.instance;
   next.name = entry.incarnation > 1 ? name + "#" + std::to_string(entry.incarnation) : name;
@@ -262,21 +267,21 @@
   changes.push_back(std::move(next));
 }
 
-bool EndpointTracker::isExpired(const Entry& entry, Time now) const {
+bool EndpointTracker::isRemovable(const Entry& entry, Time now) const {
   return !entry.present && !entry.isPublished &&
          entry.penalty.value(policy_.damping, now) < kNegligiblePenalty;
 }
 
-// Bounds the memory where instances come under names that are always new.
-void EndpointTracker::removeExpiredEntries(Time now) {
+// Bounds the memory if instances keep appearing under new names.
+void EndpointTracker::removeWithdrawnEntries(Time now) {
   for (auto it = entries_.begin(); it != entries_.end();)
-    it = isExpired(it->second, now) ? entries_.erase(it) : std::next(it);
+    it = isRemovable(it->second, now) ? entries_.erase(it) : std::next(it);
 }
 
 EndpointTracker::View EndpointTracker::view(Time now) const {
   View view{{}, lastUpdateAt_, failingSince_, failingSince_ ? failureReason_ : std::string()};
   for (const auto& [name, entry] : entries_) {
-    if (isExpired(entry, now)) continue;
+    if (isRemovable(entry, now)) continue;
     Row row{entry.instance, entry.exclusion, entry.penalty.value(policy_.damping, now), entry.withdrawals};
     if (!entry.present) {
       row.instance.state = Lifecycle::Removed;
--- a/src/discovery/endpoint_tracker.hpp
+++ b/src/discovery/endpoint_tracker.hpp
@@ -1,23 +1,19 @@
-// Turns what a source of the endpoint list reports into the updates that its handler receives. Pure: no I/O,
-// no clock.
+// Turns the reports of a discovery source into updates for the handler of the endpoint list. Pure: no I/O, no
+// clock.
 //
-// - Withdrawals are never delayed: an instance that a source no longer lists is withdrawn in the next update.
-//   Only a return is held back.
+// - Withdrawals are never delayed: an instance that the source no longer lists is withdrawn in the next
+//   update. Only the publication of an instance may be delayed.
 // - Flap damping after RFC 2439: each withdrawal of a name adds a penalty of 1, which decays with the
-// half-life
-//   of the policy. A name that returns while its penalty is at or above the suppress threshold is left out
-//   until the penalty has decayed to the reuse threshold, and for no longer than the maximum suppression
+//   half-life of the policy. A name that returns while its penalty is at or above the suppress threshold is
+//   excluded until the penalty has decayed to the reuse threshold, but at most for the maximum suppression
 //   time.
-// - Start times: an instance that appears after the initial list, and whose source gives no start time, is
-// taken
-//   to have started when it appeared, so that the balancer warms it up. Instances of the initial list are
-//   taken to have started long ago.
+// - Start times: an instance that appears after the initial list without a start time from its source is
+//   assumed to have started when it appeared, so that the balancer applies slow start to it. Instances of the
+//   initial list are assumed to have started long ago.
 // - Renames: an address that changes its name from one list to the next is the same server and keeps its
-// start
-//   time.
-// - Duplicate addresses: of two names at one address the one that was published first stays; the other is
-// left
-//   out until that one is gone.
+//   start time.
+// - Duplicate addresses: if two names have the same address, the name that was published first stays, and the
+//   other is excluded until the first is withdrawn.
 // - Failures of the source withdraw nothing until the list exceeds the maximum age of the policy.
 #pragma once
 
@@ -33,51 +29,53 @@
 
 namespace stonebay {
 
-/// How a list is damped, and when it expires.
+/// Flap damping and expiry of an endpoint list.
 struct EndpointTrackerPolicy {
   FlapDampingPolicy damping;
-  /// While the source fails, the list expires at this age; 0: never.
+  /// The list expires at this age if the source is failing; 0: never.
   std::chrono::microseconds maxListAge{};
 };
 
 /// Why an instance is not published.
 enum class ExclusionReason { None, ListExpired, Flapping, DuplicateAddress, Withdrawn };
-/// For operators; empty for None.
+/// Returns the reason as text for operators, or an empty string for None.
 const char* describe(ExclusionReason reason);
 
-/// Tracks the instances of one source. Feed it with the on... functions, and after each of them, and when
-/// nextDeadline is due, call takeUpdate until it returns nothing.
+/// Tracks the instances of one discovery source. The caller reports events through the on... functions. After
+/// each of them, and when nextDeadline() has passed, it calls takeUpdate() until that returns std::nullopt.
 class EndpointTracker {
  public:
   using Time = std::chrono::microseconds;
   explicit EndpointTracker(const EndpointTrackerPolicy& policy = {}) : policy_(policy) {}
 
-  /// A complete list from a source that delivers nothing else. `initial`: instances that are new to the list
-  /// did not start just now, as after a change of the domain; always so for the very first list.
+  /// Handles a complete list from a source that delivers only complete lists. If `initial` is true, new
+  /// instances are not assumed to have started just now, for example after a change of the DNS-SD domain. The
+  /// first list is always treated as initial.
   void onSnapshot(Time now, std::vector<Instance> instances, bool initial = false);
-  /// A list or a change of one from a source with generations. Such a source reports start times and
-  /// withdrawals itself: its lists are passed on as they are.
+  /// Handles a list, or the changes to one, from a source with generations. Such a source reports start times
+  /// and withdrawals itself, so neither flap damping nor exclusion applies to its instances.
   void onChange(Time now, EndpointListUpdate list);
-  /// The source could not be reached or gave no usable answer.
+  /// Handles a failure: the source could not be reached or gave no usable answer.
   void onFailure(Time now, std::string reason);
 
-  /// The handler has these from elsewhere. To be called before anything else.
+  /// Treats the instances as published already: the handler knows them from the configuration. Must be called
+  /// before any other function.
   void assumePublished(const std::vector<Instance>& instances);
-  /// The next update for the handler; nothing when it is up to date. A source's long list comes in parts,
-  /// what withdraws endpoints first.
+  /// Returns the next update for the handler, or std::nullopt if the handler is up to date. A long list from
+  /// a source with generations is split into parts, which begin with the draining and removed instances.
   std::optional<EndpointListUpdate> takeUpdate(Time now);
-  /// Whether takeUpdate has another part of a list at once.
-  bool hasMoreUpdates() const { return !unpublishedLists_.empty(); }
-  /// When takeUpdate may have something without any further event.
+  /// Returns true if takeUpdate() will return another part of a list.
+  bool hasMoreUpdates() const { return !pendingUpdates_.empty(); }
+  /// Returns the time at which takeUpdate() may have an update without a further event; std::nullopt: never.
   std::optional<Time> nextDeadline() const;
 
-  /// Generation of the last update, or of the source's last list where it has generations.
+  /// Returns the generation of the last update or, for a source with generations, of its last list.
   std::uint64_t generation() const { return generation_; }
-  /// When the source last delivered a list or a change.
+  /// Returns when the source last delivered a list or changes.
   std::optional<Time> lastUpdateAt() const { return lastUpdateAt_; }
   void setPolicy(const EndpointTrackerPolicy& policy) { policy_ = policy; }
 
-  /// An instance as operators see it.
+  /// An instance and its state in the tracker, for operators.
   struct Row {
     Instance instance;
     ExclusionReason exclusion = ExclusionReason::None;
@@ -86,24 +84,24 @@
   };
   /// The state of the tracker for operators.
   struct View {
-    std::vector<Row> rows;  ///< by name
+    std::vector<Row> rows;  ///< ordered by name
     std::optional<Time> lastUpdateAt;
-    std::optional<Time> failingSince;  ///< nothing has been delivered since then
-    std::string failureReason;         ///< of the last failure, while the source is failing
+    std::optional<Time> failingSince;  ///< set while the source is failing: time of its first failure
+    std::string failureReason;         ///< of the last failure; empty unless the source is failing
   };
   View view(Time now) const;
 
  private:
   struct Entry {
-    Instance instance;  // as the source lists it
+    Instance instance;  // as the source last listed it
     bool present = false;
     bool isPublished = false;
-    Instance published;                // as the handler knows it
-    Time presenceChangedAt{};          // of the last appearance or withdrawal
-    std::int64_t inferredStartMs = 0;  // where the source gives no start time
+    Instance published;                // as last published to the handler
+    Time presenceChangedAt{};          // time of the last appearance, withdrawal or change of server
+    std::int64_t inferredStartMs = 0;  // used if the source gives no start time; 0: long ago
     FlapPenalty penalty;
     unsigned withdrawals = 0;
-    unsigned incarnation = 1;  // counts the servers that the name has stood for
+    unsigned incarnation = 1;  // number of servers that were published under this name
     ExclusionReason exclusion = ExclusionReason::None;
   };
   struct WithdrawnServer {
@@ -113,16 +111,16 @@
   };
   using NamedEntry = std::pair<const std::string*, Entry*>;
 
-  bool isExpired(const Entry& entry, Time now) const;
+  bool isRemovable(const Entry& entry, Time now) const;
   void onSourceDelivered(Time now);
-  std::vector<Instance> changesOf(const EndpointListUpdate& list);
+  std::vector<Instance> findChanges(const EndpointListUpdate& list);
   void applyChange(Time now, const Instance& instance);
-  void addUnpublished(std::vector<Instance> changes);
+  void queueUpdates(std::vector<Instance> changes);
   std::vector<WithdrawnServer> withdrawMissing(Time now, const std::vector<Instance>& instances);
   void updateEntry(Time now, Instance instance, const std::vector<WithdrawnServer>& withdrawn, bool initial);
-  void appear(Entry& entry, Time now, bool initial) const;
-  void withdraw(Entry& entry, Time now) const;
-  void removeExpiredEntries(Time now);
+  void markPresent(Entry& entry, Time now, bool initial) const;
+  void markWithdrawn(Entry& entry, Time now) const;
+  void removeWithdrawnEntries(Time now);
   std::optional<Time> listExpiresAt() const;
   std::vector<NamedEntry> entriesByPrecedence();
   void updateExclusions(const std::vector<NamedEntry>& entries, Time now) const;
@@ -133,10 +131,10 @@
   std::uint64_t generation_ = 0;
   bool hasList_ = false;
   bool sourceHasGenerations_ = false;
-  std::deque<EndpointListUpdate> unpublishedLists_;  // of a source with generations
-  bool completeUpdateDue_ = false;                   // the next update is a complete list
-  bool changed_ = false;                             // since the last update
-  bool expired_ = false;
+  std::deque<EndpointListUpdate> pendingUpdates_;  // from a source with generations
+  bool completeUpdateDue_ = false;                 // the next update must be a complete list
+  bool changed_ = false;                           // the source has delivered a list since the last update
+  bool listExpired_ = false;                       // the list has exceeded its maximum age
   std::optional<Time> lastUpdateAt_;
   std::optional<Time> failingSince_;
   std::string failureReason_;
--- a/src/discovery/flap_damping.cpp
+++ b/src/discovery/flap_damping.cpp
@@ -11,23 +11,23 @@
 
 constexpr double kPenaltyPerWithdrawal = 1;
 
-double halfLives(Time time, const FlapDampingPolicy& policy) {
+double toHalfLives(Time time, const FlapDampingPolicy& policy) {
   const std::int64_t halfLife = std::max<std::int64_t>(policy.halfLife.count(), 1);
   return static_cast<double>(time.count()) / static_cast<double>(halfLife);
 }
 
-// The penalty that decays to the reuse threshold within the maximum suppression time: a name that has flapped
-// for hours is not suppressed for hours.
+// Returns the penalty that decays to the reuse threshold within the maximum suppression time. With this
+// limit, a name that has flapped for hours is not suppressed for hours.
 double maxPenalty(const FlapDampingPolicy& policy) {
-  const double ceiling = policy.reuseThreshold * std::exp2(halfLives(policy.maxSuppression, policy));
-  return std::max(ceiling, kPenaltyPerWithdrawal);
+  const double limit = policy.reuseThreshold * std::exp2(toHalfLives(policy.maxSuppression, policy));
+  return std::max(limit, kPenaltyPerWithdrawal);
 }
 
 }  // namespace
 
 double FlapPenalty::value(const FlapDampingPolicy& policy, Time now) const {
   if (penalty_ == 0) return 0;
-  return penalty_ * std::exp2(-halfLives(now - updatedAt_, policy));
+  return penalty_ * std::exp2(-toHalfLives(now - updatedAt_, policy));
 }
 
 void FlapPenalty::onWithdrawal(const FlapDampingPolicy& policy, Time now) {
--- a/src/discovery/json.hpp
+++ b/src/discovery/json.hpp
@@ -10,7 +10,7 @@
 
 namespace stonebay {
 
-/// The path of an element of an array, which is made into text only for an error.
+/// The path of an array element. It is formatted only if an error is reported.
 struct JsonPath {
   const std::string& array;
   std::size_t index;
@@ -20,8 +20,8 @@
   return path.array + "[" + std::to_string(path.index) + "].";
 }
 
-/// The value of `key` in `object`. Throws InvalidInput, which names `path` + `key`, when it is missing or of
-/// another type. `path`: text or a JsonPath.
+/// Returns the value of `key` in `object`. Throws InvalidInput, which names `path` + `key`, if it is missing
+/// or has another type. `path` is a std::string or a JsonPath.
 template <typename T, typename Path>
 T jsonField(const simdjson::dom::element& object, const char* key, const Path& path) {
   T value;
@@ -31,7 +31,8 @@
   return value;
 }
 
-/// The endpoint list in `object`; `path` is the prefix of the key names in errors. Throws InvalidInput.
+/// Parses the endpoint list in `object`. `path` is the prefix of the key names in error messages. Throws
+/// InvalidInput.
 EndpointListUpdate readInstances(const simdjson::dom::element& object, const std::string& path);
 
 }  // namespace stonebay
--- a/src/discovery/registry/registry_watch.cpp
+++ b/src/discovery/registry/registry_watch.cpp
@@ -8,7 +8,8 @@
 namespace stonebay {
 namespace {
 
-// A watch delivers at least an empty line every 2 s; after a longer silence the registry is unreachable.
+// The registry sends at least an empty line every 2 s during a watch. A silence longer than this timeout ends
+// the watch.
 constexpr Time kSilenceTimeout = std::chrono::milliseconds(3000);
 
 }  // namespace
@@ -23,7 +24,7 @@
           this)) {}
 
 void RegistryWatch::watch(std::uint64_t after) {
-  if (connection_) return;  // a connection that stalls ends by the silence timer
+  if (connection_) return;  // the silence timer ends a stalled connection
   response_ = http::Response();
   reader_ = EndpointListReader();
   connection_.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
@@ -54,12 +55,12 @@
   handler_.onListInput();
   startTimer(silenceTimer_.get(), kSilenceTimeout);
   evbuffer* const input = bufferevent_get_input(connection_.get());
-  evbuffer_iovec part;
+  evbuffer_iovec chunk;
   std::string body;
-  while (evbuffer_peek(input, -1, nullptr, &part, 1) > 0) {
-    if (!response_.feed({static_cast<const char*>(part.iov_base), part.iov_len}, body))
+  while (evbuffer_peek(input, -1, nullptr, &chunk, 1) > 0) {
+    if (!response_.feed({static_cast<const char*>(chunk.iov_base), chunk.iov_len}, body))
       return fail("malformed response");
-    evbuffer_drain(input, part.iov_len);
+    evbuffer_drain(input, chunk.iov_len);
   }
   if (response_.refused()) return fail(("status " + std::to_string(response_.status())).c_str());
   try {
@@ -70,12 +71,12 @@
   if (response_.done()) fail("watch ended");
 }
 
-void RegistryWatch::fail(const char* why) {
-  if (!connection_) return;  // the end of a connection is reported once
-  logEvent(LogLevel::Warning, "watch_ended", {{"why", why}});
+void RegistryWatch::fail(const char* reason) {
+  if (!connection_) return;  // the end of a connection is reported only once
+  logEvent(LogLevel::Warning, "watch_ended", {{"why", reason}});
   connection_.reset();
   event_del(silenceTimer_.get());
-  handler_.onListFailure(why);
+  handler_.onListFailure(reason);
 }
 
 }  // namespace stonebay
--- a/src/discovery/registry/registry_watch.hpp
+++ b/src/discovery/registry/registry_watch.hpp
@@ -1,4 +1,4 @@
-// The client of the HTTP registry's watch.
+// Client for watches on the HTTP registry.
 #pragma once
 
 #include "codec/http/http.hpp"
@@ -8,22 +8,22 @@
 
 namespace stonebay {
 
-/// Watches the registry over one connection at a time. Each list that arrives goes to the handler; the end of
-/// the connection, for whatever reason, is one EndpointListHandler::onListFailure.
+/// Watches the registry over one connection at a time. Passes each received list to the handler, and reports
+/// the end of the connection, whatever its cause, with one call of EndpointListHandler::onListFailure.
 class RegistryWatch final : public EndpointWatcher {
  public:
   /// `handler` must outlive the watch.
   RegistryWatch(event_base* base, EndpointListHandler& handler, const Address& address);
 
-  /// Connects and requests the changes after generation `after`. Does nothing while a watch is active.
+  /// Connects and requests the changes after generation `after`. Does nothing if a watch is active.
   void watch(std::uint64_t after) override;
-  /// Moves the watch to another address and resumes after the last known generation. The old connection is
-  /// closed without a failure.
+  /// Moves the watch to another address and requests the changes after the last received generation. Closes
+  /// the old connection without reporting a failure.
   void setAddress(const Address& address);
 
  private:
   void onReadable();
-  void fail(const char* why);
+  void fail(const char* reason);
 
   event_base* const base_;
   EndpointListHandler& handler_;
--- a/src/gossip/gossip_socket.cpp
+++ b/src/gossip/gossip_socket.cpp
@@ -16,10 +16,10 @@
 namespace stonebay {
 namespace {
 
-// Datagrams read in one pass, so that a flood of them does not keep other events waiting.
+// Limits the datagrams read per pass of the event loop, so that a flood of them does not delay other events.
 constexpr int kMaxDatagramsPerPass = 64;
 
-// Nothing: errno says why.
+// Returns std::nullopt and sets errno if the socket cannot be opened or bound.
 std::optional<int> tryOpenSocket(const Address& address) {
   const int fd = socket(address.data()->sa_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return std::nullopt;
@@ -54,12 +54,12 @@
   if (fd_ >= 0) close(fd_);
 }
 
-// A datagram that cannot be sent now is lost like any other: the next broadcast brings newer messages.
+// Ignores errors, as datagrams may be lost anyway and the next broadcast has newer messages.
 void GossipSocket::broadcast(const std::vector<gossip::Message>& messages) {
   if (fd_ < 0) return;
-  const Address& to = config_.gossipBroadcast;
+  const Address& destination = config_.gossipBroadcast;
   for (const std::string& datagram : gossip::encode(messages))
-    sendto(fd_, datagram.data(), datagram.size(), MSG_DONTWAIT, to.data(), to.size());
+    sendto(fd_, datagram.data(), datagram.size(), MSG_DONTWAIT, destination.data(), destination.size());
 }
 
 void GossipSocket::onReadable() {
@@ -67,16 +67,17 @@
     if (!receiveDatagram()) return;
 }
 
-// Reads one datagram; false if there is none.
+// Reads one datagram. Returns false if there is none.
 bool GossipSocket::receiveDatagram() {
-  std::array<char, gossip::kMaxDatagramBytes + 1> datagram;  // one more: longer ones are not well-formed
-  sockaddr_storage from{};
-  socklen_t fromSize = sizeof from;
+  // The extra byte detects datagrams that are too long.
+  std::array<char, gossip::kMaxDatagramBytes + 1> datagram;
+  sockaddr_storage sender{};
+  socklen_t senderSize = sizeof sender;
   const ssize_t size = recvfrom(fd_, datagram.data(), datagram.size(), MSG_DONTWAIT,
-                                reinterpret_cast<sockaddr*>(&from), &fromSize);
+                                reinterpret_cast<sockaddr*>(&sender), &senderSize);
   if (size < 0) return false;
-  // Messages of a stranger must not count: a position that is too new would let reads return stale data.
-  if (!isPeer(Address::fromSocket(reinterpret_cast<const sockaddr*>(&from)))) return true;
+  // Ignores messages from other senders: with a position that is too new, reads could return stale data.
+  if (!isPeer(Address::fromSocket(reinterpret_cast<const sockaddr*>(&sender)))) return true;
   const auto now =
       std::chrono::duration_cast<std::chrono::milliseconds>(dispatcher_.now().time_since_epoch());
   const std::string_view bytes(datagram.data(), static_cast<std::size_t>(size));
--- a/src/gossip/gossip_socket.hpp
+++ b/src/gossip/gossip_socket.hpp
@@ -1,4 +1,4 @@
-// The transport of the gossip between the proxies of a tier: UDP.
+// UDP transport of the gossip between the proxies of a tier.
 #pragma once
 
 #include <event2/util.h>
@@ -15,11 +15,11 @@
 
 namespace stonebay {
 
-/// Sends datagrams to the broadcast address of the configuration, and hands the messages of those that come
-/// from its peers to the dispatcher. Does nothing where the configuration has no address to listen at.
+/// Sends datagrams to the configured broadcast address, and passes the messages in datagrams of the
+/// configured peers to the dispatcher. Does nothing if no listen address is configured.
 class GossipSocket final : public GossipChannel {
  public:
-  /// The references must outlive the socket. Throws std::system_error if it cannot listen.
+  /// The arguments must outlive the socket. Throws std::system_error if the listen address cannot be bound.
   GossipSocket(event_base* base, Dispatcher& dispatcher, const Config& config);
   ~GossipSocket() override;
   GossipSocket(const GossipSocket&) = delete;
--- a/tests/address_test.cpp
+++ b/tests/address_test.cpp
@@ -1,4 +1,4 @@
-// Socket addresses: text form, bytes, equality.
+// Socket addresses: conversion from and to text, conversion from bytes, and equality.
 #include "discovery/address.hpp"
 
 #include <gtest/gtest.h>
@@ -17,14 +17,14 @@
   EXPECT_EQ(Address().text(), "");
 }
 
-TEST(Address, RejectsWhatIsNoAddressWithAPort) {
+TEST(Address, RejectsMalformedText) {
   for (const char* text :
        {"", "10.1.0.18", "10.1.0.18:", "10.1.0.18:65536", "10.1.0.18:-1", "10.1.0.18:5432x", "host:5432",
         "fe80::1:5432", "[fe80::1]", "[]:5432", "[10.1.0.18]:5432"})
     EXPECT_FALSE(Address::parse(text)) << text;
 }
 
-TEST(Address, IsReadFromTheBytesOfARecord) {
+TEST(Address, ConvertsTheBytesOfAnAddressRecord) {
   EXPECT_EQ(Address::fromBytes(std::string("\x0a\x01\x00\x12", 4), 5432), *Address::parse("10.1.0.18:5432"));
   EXPECT_EQ(Address::fromBytes(std::string(15, '\0') + "\1", 5432), *Address::parse("[::1]:5432"));
   EXPECT_TRUE(Address::fromBytes("abc", 5432).none());
--- a/tests/discovery_watch_test.cpp
+++ b/tests/discovery_watch_test.cpp
@@ -1,12 +1,12 @@
-// The watch on the registry: its events, its failures, reloads. scenario.hpp explains the language.
+// The watch on the registry: received lists, failures and reloads. scenario.hpp explains the script language.
 #include "scenario.hpp"
 
 namespace stonebay::test {
 namespace {
 
-TEST(DiscoveryWatch, DrainsAnEndpointWhateverTheChunksOfTheEvent) {
-  Scenario t;
-  t.run("s2 wait idle 2\nlist send bits " + t.list(2, "leaving", 6) + R"(
+TEST(DiscoveryWatch, DrainsAnEndpointAfterAListInOneByteChunks) {
+  Scenario scenario;
+  scenario.run("s2 wait idle 2\nlist send bits " + scenario.list(2, "leaving", 6) + R"(
     s2 expect drained
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s1 expect query id=1
@@ -14,10 +14,11 @@
     c1 expect row v
   )");
 }
-// Read line by line, an indented list was malformed, its watch ended, and so on for ever.
+// Guards against endless retries: a parser that reads line by line rejects an indented list and ends the
+// watch, and the next watch receives the same list.
 TEST(DiscoveryWatch, AcceptsAnIndentedList) {
-  Scenario t;
-  t.run("s2 wait idle 2\nlist send indented " + t.list(2, "leaving", 6) + R"(
+  Scenario scenario;
+  scenario.run("s2 wait idle 2\nlist send indented " + scenario.list(2, "leaving", 6) + R"(
     s2 expect drained
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s1 expect query id=1
@@ -25,12 +26,12 @@
     c1 expect row v
   )");
 }
-// A response without a length lasts until the end of its connection, and a reset is no end: complete lists
-// are used, half a list is not.
+// A response without a length ends with its connection, and a connection reset does not end it properly.
+// Lists that are complete must be used nevertheless; a truncated list must not.
 TEST(DiscoveryWatch, UsesOnlyCompleteListsOfAResponseThatIsReset) {
-  Scenario t;
-  const std::string whole = t.list(2, "leaving", 6), half = whole.substr(0, whole.size() - 2);
-  t.run("list close\nlist expect endless after=5\nlist send raw " + half + R"(
+  Scenario scenario;
+  const std::string list = scenario.list(2, "leaving", 6), truncated = list.substr(0, list.size() - 2);
+  scenario.run("list close\nlist expect endless after=5\nlist send raw " + truncated + R"(
     list reset
     list expect endless after=5
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -38,15 +39,15 @@
     s2 send row v
     c1 expect row v
     list send raw )" +
-        whole + R"(
+               list + R"(
     s2 expect closed
     list reset
     list expect watch after=6
   )");
 }
-TEST(DiscoveryWatch, WatchesAgainAfterAnEndA503OrSilence) {
-  Scenario t;
-  t.run("list send line " + t.list(2, "leaving", 6) + R"(
+TEST(DiscoveryWatch, WatchesAgainAfterACloseAnErrorStatusOrSilence) {
+  Scenario scenario;
+  scenario.run("list send line " + scenario.list(2, "leaving", 6) + R"(
     list close
     list expect call after=6
     list send status 503 Service Unavailable
@@ -54,15 +55,15 @@
     list send status nonsense
     list expect watch after=6
     list send line {"generation":9,"reset":true,"instances":[]}
-    # nothing more: a watch brings an empty line every 2 s
+    # silence: a registry sends at least an empty line every 2 s
     list expect watch after=9
     s1 expect drained
   )");
 }
-// A program without a handler ends on SIGHUP; nor may a file that can't be used end it.
+// Without a signal handler, SIGHUP would end the process. Neither the signal nor an invalid file may end it.
 TEST(DiscoveryWatch, SighupReloadsTheConfigurationAndMovesTheWatch) {
-  Scenario t;
-  t.run(R"(
+  Scenario scenario;
+  scenario.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
     proxy reload broken
@@ -72,7 +73,7 @@
     s2 send row v
     c1 expect row v
   )");
-  t.run("list send line " + t.list(2, "leaving", 6) + R"(
+  scenario.run("list send line " + scenario.list(2, "leaving", 6) + R"(
     s2 expect closed
     proxy send TERM
     proxy reload moved
@@ -80,10 +81,11 @@
     proxy expect exit 0
   )");
 }
-// SIGHUP comes during the backoff after a failed call: the call at its end gave up the one under way.
-TEST(DiscoveryWatch, CallsOnceWhereAReloadCrossesTheBackoff) {
-  Scenario t;
-  t.run(R"(
+// Guards against a lost watch: if a reload starts a watch during the backoff after a failure, the watch
+// request at the end of the backoff must not replace it.
+TEST(DiscoveryWatch, KeepsTheWatchThatAReloadStartsDuringTheBackoff) {
+  Scenario scenario;
+  scenario.run(R"(
     list close
     proxy expect log event=watch_ended
     proxy reload moved
@@ -91,7 +93,7 @@
     time passes 400
     list expect calls 2
   )");
-  t.run("list send line " + t.list(2, "leaving", 6) + "\ns2 expect drained");
+  scenario.run("list send line " + scenario.list(2, "leaving", 6) + "\ns2 expect drained");
 }
 
 }  // namespace
--- a/tests/dnssd_client_test.cpp
+++ b/tests/dnssd_client_test.cpp
@@ -1,4 +1,4 @@
-// The DNS-SD client against name servers on loopback.
+// The DNS-SD client with name servers on the loopback interface.
 #include "discovery/dnssd/dnssd_client.hpp"
 
 #include <gtest/gtest.h>
@@ -22,9 +22,9 @@
   Config config;
   std::unique_ptr<EndpointFeed> feed;
   std::unique_ptr<DnsSdClient> client;
-  std::map<std::string, Instance> instances;  // as the feed has published them
-  std::uint64_t lists = 0;
-  std::uint64_t failures = 0;
+  std::map<std::string, Instance> instances;  // as published by the feed
+  std::uint64_t listCount = 0;
+  std::uint64_t failureCount = 0;
   std::string failureReason;
 
   DnsSdClientTest() {
@@ -52,7 +52,7 @@
     for (auto* server : {&first, &second}) server->publish(service);
   }
   void onEndpointList(EndpointListUpdate list) override {
-    ++lists;
+    ++listCount;
     if (list.reset) instances.clear();
     for (const Instance& instance : list.instances)
       if (instance.state == Lifecycle::Removed)
@@ -61,7 +61,7 @@
         instances[instance.name] = instance;
   }
   void onListFailure(const std::string& reason) override {
-    ++failures;
+    ++failureCount;
     failureReason = reason;
   }
   std::uint64_t generation() const override { return 0; }
@@ -69,8 +69,9 @@
     feed = std::make_unique<EndpointFeed>(base.get(), clock, *this, EndpointTrackerPolicy());
     client = std::make_unique<DnsSdClient>(base.get(), clock, *feed, config);
   }
+  // Runs the event loop until `done` returns true. Fails after 20 s.
   template <typename Done>
-  void until(Done done) {  // fails after 20 s
+  void waitUntil(Done done) {
     const Time end = clock.now() + seconds(20);
     while (!done()) {
       ASSERT_LT(clock.now(), end) << "timed out; the last failure: " << failureReason;
@@ -81,84 +82,84 @@
 
 TEST_F(DnsSdClientTest, DiscoversInstancesAndFollowsTheZone) {
   start();
-  until([&] { return instances.size() == 3; });
-  EXPECT_EQ(lists, 1u);  // the initial list is complete
+  waitUntil([&] { return instances.size() == 3; });
+  EXPECT_EQ(listCount, 1u);  // the first published list is complete
   EXPECT_EQ(instances["s-1"].address.text(), "127.0.0.1:6001");
   EXPECT_EQ(instances["s-1"].startedMs, 0);
   first.withdraw("s-2");
-  until([&] { return instances.size() == 2; });
+  waitUntil([&] { return instances.size() == 2; });
   EXPECT_EQ(instances.count("s-2"), 0u);
   publish("s-2", 6002);
-  until([&] { return instances.size() == 3; });
+  waitUntil([&] { return instances.size() == 3; });
   EXPECT_GT(instances["s-2"].startedMs, 0);
   first.clear();
-  until([&] { return instances.empty(); });
+  waitUntil([&] { return instances.empty(); });
   EXPECT_EQ(second.counts().udp, 0u);                                 // the second server was not needed
   EXPECT_EQ(first.counts().udp, first.counts().types.at(Type::Ptr));  // one query per refresh
 }
 
 TEST_F(DnsSdClientTest, OnlyANegativeResponseWithdraws) {
   start();
-  until([&] { return instances.size() == 3; });
+  waitUntil([&] { return instances.size() == 3; });
   for (const char* name : {"silent", "servfail", "refused", "lame", "noise", "loop", "counts", "wrong-id",
                            "wrong-question", "wrong-port"}) {
     testbed::NameServer::Behavior behavior{};
     ASSERT_TRUE(testbed::NameServer::findBehavior(name, behavior)) << name;
     first.setBehavior(behavior);
     second.setBehavior(behavior);
-    const auto before = failures;
-    until([&] { return failures > before; });
+    const auto failuresBefore = failureCount;
+    waitUntil([&] { return failureCount > failuresBefore; });
     EXPECT_EQ(instances.size(), 3u) << name;
     first.setBehavior(testbed::NameServer::Behavior::Good);
     second.setBehavior(testbed::NameServer::Behavior::Good);
-    const auto asked = first.counts().udp + second.counts().udp;
-    until([&] { return first.counts().udp + second.counts().udp > asked + 1; });
+    const auto queriesBefore = first.counts().udp + second.counts().udp;
+    waitUntil([&] { return first.counts().udp + second.counts().udp > queriesBefore + 1; });
   }
   EXPECT_EQ(instances.size(), 3u);
-  EXPECT_EQ(lists, 1u);
+  EXPECT_EQ(listCount, 1u);
 }
 
 TEST_F(DnsSdClientTest, FailsOverAndStaysWithTheNewServer) {
   first.setBehavior(testbed::NameServer::Behavior::Silent);
   start();
-  until([&] { return instances.size() == 3; });
-  EXPECT_EQ(failures, 0u);
+  waitUntil([&] { return instances.size() == 3; });
+  EXPECT_EQ(failureCount, 0u);
   first.setBehavior(testbed::NameServer::Behavior::Good);
-  const auto before = first.counts().udp;
-  const auto asked = second.counts().udp;
-  until([&] { return second.counts().udp > asked + 4; });
-  EXPECT_EQ(first.counts().udp, before);
+  const auto queriesToFirst = first.counts().udp;
+  const auto queriesToSecond = second.counts().udp;
+  waitUntil([&] { return second.counts().udp > queriesToSecond + 4; });
+  EXPECT_EQ(first.counts().udp, queriesToFirst);
 }
 
-TEST_F(DnsSdClientTest, UsesTcpAfterTruncationAndKeepsTheListWhereTcpIsRefused) {
+TEST_F(DnsSdClientTest, UsesTcpAfterTruncationAndKeepsTheListIfTcpIsRefused) {
   first.setBehavior(testbed::NameServer::Behavior::Truncated);
   start();
-  until([&] { return instances.size() == 3; });
+  waitUntil([&] { return instances.size() == 3; });
   EXPECT_GT(first.counts().tcp, 0u);
   first.setBehavior(testbed::NameServer::Behavior::TruncatedOnly);
   second.setBehavior(testbed::NameServer::Behavior::TruncatedOnly);
-  until([&] { return failures >= 2; });
+  waitUntil([&] { return failureCount >= 2; });
   EXPECT_EQ(instances.size(), 3u);
   second.setBehavior(testbed::NameServer::Behavior::Good);
   second.withdraw("s-3");
-  until([&] { return instances.size() == 2; });
+  waitUntil([&] { return instances.size() == 2; });
 }
 
-TEST_F(DnsSdClientTest, RetriesWithoutEdnsWhereItIsRejected) {
+TEST_F(DnsSdClientTest, RetriesWithoutEdnsIfItIsRejected) {
   first.setBehavior(testbed::NameServer::Behavior::NoEdns);
   second.setBehavior(testbed::NameServer::Behavior::Silent);
   start();
-  until([&] { return instances.size() == 3; });
-  EXPECT_EQ(failures, 0u);
+  waitUntil([&] { return instances.size() == 3; });
+  EXPECT_EQ(failureCount, 0u);
 }
 
 TEST_F(DnsSdClientTest, ManyInstancesCostOneConnectionPerRefreshNotAQueryEach) {
   for (int k = 4; k <= 60; ++k) publish("s-" + std::to_string(k), 6000 + k);
   start();
-  until([&] { return instances.size() == 60; });
-  const auto udp = first.counts().udp, tcp = first.counts().tcp;
-  until([&] { return first.counts().tcp >= tcp + 3; });
-  EXPECT_LE(first.counts().udp - udp, 1u);
+  waitUntil([&] { return instances.size() == 60; });
+  const auto udpBefore = first.counts().udp, tcpBefore = first.counts().tcp;
+  waitUntil([&] { return first.counts().tcp >= tcpBefore + 3; });
+  EXPECT_LE(first.counts().udp - udpBefore, 1u);
 }
 
 TEST_F(DnsSdClientTest, AnInstanceIsPublishedOnceItHasAnAddress) {
@@ -167,21 +168,21 @@
   service.port = 6009;
   first.publish(service);
   start();
-  until([&] { return instances.size() == 3 && client->faults().size() == 1; });
+  waitUntil([&] { return instances.size() == 3 && client->faults().size() == 1; });
   EXPECT_EQ(instances.count("s-9"), 0u);
   service.addresses = {"127.0.0.1"};
   first.publish(service);
-  until([&] { return instances.count("s-9") == 1; });
-  // One that loses its address is withdrawn.
+  waitUntil([&] { return instances.count("s-9") == 1; });
+  // An instance that loses its address is withdrawn.
   service.addresses.clear();
   first.publish(service);
-  until([&] { return instances.count("s-9") == 0; });
+  waitUntil([&] { return instances.count("s-9") == 0; });
 }
 
-// SIGHUP with another domain: the list is kept until that of the new domain is complete.
+// After a reload with another domain, the old list is kept until the list of the new domain is complete.
 TEST_F(DnsSdClientTest, ChangesTheDomainWithoutAGap) {
   start();
-  until([&] { return instances.size() == 3; });
+  waitUntil([&] { return instances.size() == 3; });
   testbed::NameServer other(base.get(), "seeb.example.org", kService);
   testbed::ServiceInstance service;
   service.addresses = {"127.0.0.1"};
@@ -194,16 +195,16 @@
   other.setBehavior(testbed::NameServer::Behavior::Silent);
   config.dnssd.domain = "seeb.example.org";
   config.dnssd.servers = {*Address::parse("127.0.0.1:" + std::to_string(other.port()))};
-  const auto before = lists;
+  const auto listsBefore = listCount;
   client->reconfigure(config);
-  until([&] { return failures > 0; });
+  waitUntil([&] { return failureCount > 0; });
   EXPECT_EQ(instances.size(), 3u);
-  EXPECT_EQ(lists, before);
+  EXPECT_EQ(listCount, listsBefore);
   other.setBehavior(testbed::NameServer::Behavior::Good);
-  until([&] { return instances.size() == 2; });
-  EXPECT_EQ(lists, before + 1);
+  waitUntil([&] { return instances.size() == 2; });
+  EXPECT_EQ(listCount, listsBefore + 1);
   EXPECT_EQ(instances.count("s-1") + instances.count("t-1"), 2u);
-  EXPECT_EQ(instances["t-1"].startedMs, 0);  // it may have been there for long
+  EXPECT_EQ(instances["t-1"].startedMs, 0);  // it may have started long ago
 }
 
 }  // namespace
--- a/tests/dnssd_name_servers_test.cpp
+++ b/tests/dnssd_name_servers_test.cpp
@@ -1,4 +1,4 @@
-// The choice among several name servers.
+// Selection among several name servers.
 #include <gtest/gtest.h>
 
 #include "discovery/dnssd/name_servers.hpp"
@@ -8,18 +8,18 @@
 
 using std::chrono::seconds;
 
-TEST(DnsSdNameServers, PrefersTheOneThatRespondedAndBacksOffFromFailures) {
+TEST(DnsSdNameServers, PrefersTheServerThatRespondedAndAvoidsFailedServers) {
   NameServers servers(3);
   NameServers::Time now = seconds(100);
-  const std::vector<bool> none(3);
-  EXPECT_EQ(servers.select(now, none), 0u);
+  const std::vector<bool> noneAttempted(3);
+  EXPECT_EQ(servers.select(now, noneAttempted), 0u);
   servers.onFailure(0, now);
-  EXPECT_EQ(servers.select(now, none), 1u);
+  EXPECT_EQ(servers.select(now, noneAttempted), 1u);
   servers.onResponse(1);
-  // The backoff of the first one has ended; the current one is kept all the same.
-  EXPECT_EQ(servers.select(now + seconds(60), none), 1u);
+  // The backoff of the first server has ended, but the current server is kept.
+  EXPECT_EQ(servers.select(now + seconds(60), noneAttempted), 1u);
   EXPECT_EQ(servers.select(now, {false, true, false}), 2u);
-  EXPECT_EQ(servers.select(now, {false, true, true}), 0u);  // in backoff, but there is no other
+  EXPECT_EQ(servers.select(now, {false, true, true}), 0u);  // in backoff, but the only one left
   EXPECT_EQ(servers.select(now, {true, true, true}), std::nullopt);
 }
 
--- a/tests/dnssd_proxy_test.cpp
+++ b/tests/dnssd_proxy_test.cpp
@@ -1,18 +1,18 @@
-// The proxy with endpoints that it finds by DNS-SD. scenario.hpp explains the language.
+// A proxy that discovers its endpoints through DNS-SD. scenario.hpp explains the script language.
 #include "scenario.hpp"
 
 namespace stonebay::test {
 namespace {
 
-Setting byRecords(int servers = 2) {
-  Setting s;
-  s.dnssd = true;
-  s.servers = servers;
-  return s;
+Setting dnsSdSetting(int servers = 2) {
+  Setting setting;
+  setting.dnssd = true;
+  setting.servers = servers;
+  return setting;
 }
 TEST(DnsSdProxy, FinishesRequestsAtAnEndpointWhoseRecordIsWithdrawn) {
-  Scenario t(byRecords(2));
-  t.run(R"(
+  Scenario scenario(dnsSdSetting(2));
+  scenario.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
     dns withdraw s2
@@ -29,10 +29,10 @@
     c2 expect row again
   )");
 }
-// The attempt waits for its connection when the record is withdrawn: it must not be sent.
+// The record is withdrawn while an attempt waits for its connection. The attempt must not be sent on it.
 TEST(DnsSdProxy, SendsNothingOnAConnectionReadyAfterTheWithdrawal) {
-  Scenario t(byRecords(2));
-  t.run(R"(
+  Scenario scenario(dnsSdSetting(2));
+  scenario.run(R"(
     s1 wait idle 2
     s2 wait idle 2
     s2 wait silent
@@ -47,8 +47,8 @@
   )");
 }
 TEST(DnsSdProxy, KeepsItsListWhileNameServersFail) {
-  Scenario t(byRecords());
-  t.run(R"(
+  Scenario scenario(dnsSdSetting());
+  scenario.run(R"(
     dns behavior silent
     proxy expect log event=discovery_failed
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
@@ -61,9 +61,9 @@
     proxy expect log event=member name=s-2 state=left
   )");
 }
-TEST(DnsSdProxy, LeavesOutAnInstanceWithAFaultyRecord) {
-  Scenario t(byRecords(3));
-  t.run(R"(
+TEST(DnsSdProxy, ExcludesAnInstanceWithAnInvalidRecord) {
+  Scenario scenario(dnsSdSetting(3));
+  scenario.run(R"(
     dns publish s3 group=nowhere
     proxy expect log event=instance_left_out name=s-3
     proxy expect log event=member name=s-3 state=left
@@ -74,8 +74,8 @@
   )");
 }
 TEST(DnsSdProxy, SighupMovesToAnotherDomain) {
-  Scenario t(byRecords(3));
-  t.run(R"(
+  Scenario scenario(dnsSdSetting(3));
+  scenario.run(R"(
     dns move seeb.example.org
     dns publish s1
     dns publish s3
--- a/tests/dnssd_query_budget_test.cpp
+++ b/tests/dnssd_query_budget_test.cpp
@@ -1,4 +1,4 @@
-// The budget of DNS queries.
+// The rate limit of DNS queries.
 #include <gtest/gtest.h>
 
 #include "discovery/dnssd/query_budget.hpp"
@@ -24,7 +24,7 @@
   EXPECT_FALSE(budget.take(now));
 }
 
-TEST(DnsSdQueryBudget, OfZeroAllowsNothing) {
+TEST(DnsSdQueryBudget, ZeroRateAllowsNoQueries) {
   QueryBudget budget(0);
   EXPECT_FALSE(budget.take(seconds(1000)));
   EXPECT_FALSE(budget.take(seconds(2000)));
--- a/tests/dnssd_txt_record_test.cpp
+++ b/tests/dnssd_txt_record_test.cpp
@@ -1,4 +1,4 @@
-// TXT records of service instances.
+// Parsing of the TXT records of service instances.
 #include <gtest/gtest.h>
 
 #include "discovery/dnssd/txt_record.hpp"
@@ -6,7 +6,7 @@
 namespace stonebay {
 namespace {
 
-TEST(DnsSdTxtRecord, DescribesAnInstanceAndErrorsNameTheKey) {
+TEST(DnsSdTxtRecord, FillsAnInstanceAndErrorsNameTheKey) {
   const std::vector<GroupName> groups{{"rentals", 3}};
   Instance instance;
   EXPECT_FALSE(parseTxt({"txtvers=1", "Group=rentals", "zone=ruwi", "kind=big", "weight=2.5", "state=leaving",
@@ -18,18 +18,18 @@
   EXPECT_EQ(instance.weight, 2.5);
   EXPECT_EQ(instance.state, Lifecycle::Draining);
   EXPECT_EQ(instance.startedMs, 1767225600123);
-  Instance plain;
-  EXPECT_FALSE(parseTxt({""}, groups, 7, plain));
-  EXPECT_EQ(plain.group, 7u);
-  EXPECT_EQ(plain.weight, 1);
-  EXPECT_EQ(plain.state, Lifecycle::Ready);
-  EXPECT_EQ(plain.startedMs, 0);
+  Instance defaults;
+  EXPECT_FALSE(parseTxt({""}, groups, 7, defaults));
+  EXPECT_EQ(defaults.group, 7u);
+  EXPECT_EQ(defaults.weight, 1);
+  EXPECT_EQ(defaults.state, Lifecycle::Ready);
+  EXPECT_EQ(defaults.startedMs, 0);
   EXPECT_TRUE(parseTxt({}, groups, std::nullopt, instance));
-  for (const char* bad : {"group=lost", "group=70000", "group=", "weight=0", "weight=-1", "weight=nan",
-                          "weight=x", "state=gone", "started=-1", "started=soon", "txtvers=2"}) {
-    const auto error = parseTxt({bad}, groups, 7, instance);
-    ASSERT_TRUE(error) << bad;
-    const std::string key = std::string(bad).substr(0, std::string(bad).find('='));
+  for (const char* invalid : {"group=lost", "group=70000", "group=", "weight=0", "weight=-1", "weight=nan",
+                              "weight=x", "state=gone", "started=-1", "started=soon", "txtvers=2"}) {
+    const auto error = parseTxt({invalid}, groups, 7, instance);
+    ASSERT_TRUE(error) << invalid;
+    const std::string key = std::string(invalid).substr(0, std::string(invalid).find('='));
     EXPECT_EQ(error->key, key);
     EXPECT_EQ(error->message.find(key), 0u) << error->message;
   }
--- a/tests/endpoint_feed_test.cpp
+++ b/tests/endpoint_feed_test.cpp
@@ -1,4 +1,4 @@
-// What the handler of a feed gets, and in which order.
+// The calls that an endpoint feed makes to its handler, and their order.
 #include "discovery/endpoint_feed.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
   void onEndpointList(EndpointListUpdate list) override {
     calls.push_back("list of " + std::to_string(list.instances.size()));
   }
-  void onListFailure(const std::string& why) override { calls.push_back("failure: " + why); }
+  void onListFailure(const std::string& reason) override { calls.push_back("failure: " + reason); }
   std::uint64_t generation() const override { return 0; }
 };
 
@@ -24,7 +24,7 @@
   RecordingListHandler handler;
   EndpointFeed feed{base.get(), clock, handler, {}};
 
-  static EndpointListUpdate listOf(int count) {
+  static EndpointListUpdate makeList(int count) {
     EndpointListUpdate list{7, true, {}};
     for (int k = 1; k <= count; ++k) {
       Instance instance;
@@ -36,23 +36,24 @@
   }
 };
 
-TEST_F(EndpointFeedTest, PublishesOnePartOfALongListAPass) {
-  feed.onEndpointList(listOf(250));
+TEST_F(EndpointFeedTest, PublishesOnePartOfALongListPerPass) {
+  feed.onEndpointList(makeList(250));
   EXPECT_EQ(handler.calls, std::vector<std::string>{"list of 100"});
   event_base_loop(base.get(), EVLOOP_ONCE);
   event_base_loop(base.get(), EVLOOP_ONCE);
   EXPECT_EQ(handler.calls, (std::vector<std::string>{"list of 100", "list of 100", "list of 50"}));
 }
 
-// A list that came after a failure would end it, and nobody would watch again.
-TEST_F(EndpointFeedTest, FailureComesBehindTheListThatWasReceivedBeforeIt) {
-  feed.onEndpointList(listOf(150));
+// Guards against a lost failure: the balancer takes any list as the end of a failure, so a part of an older
+// list that arrived after the failure would keep it from starting a new watch.
+TEST_F(EndpointFeedTest, ReportsAFailureAfterTheListThatWasReceivedBeforeIt) {
+  feed.onEndpointList(makeList(150));
   feed.onListFailure("reset");
   for (int pass = 0; pass < 3; ++pass) event_base_loop(base.get(), EVLOOP_NONBLOCK);
   EXPECT_EQ(handler.calls, (std::vector<std::string>{"list of 100", "list of 50", "failure: reset"}));
 }
 
-TEST_F(EndpointFeedTest, FailureAloneComesAtOnce) {
+TEST_F(EndpointFeedTest, ReportsAFailureImmediatelyIfNoUpdateIsPending) {
   feed.onListFailure("reset");
   EXPECT_EQ(handler.calls, std::vector<std::string>{"failure: reset"});
 }
--- a/tests/endpoint_tracker_test.cpp
+++ b/tests/endpoint_tracker_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint tracker: immediate withdrawals, inferred starts, flap damping, one instance per address.
+// The endpoint tracker: immediate withdrawals, inferred start times, flap damping, one instance per address.
 #include "discovery/endpoint_tracker.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,8 @@
   return instance;
 }
 
-// The updates that are due, as "s-1 s-2! s-3~": ! gone, ~ draining.
+// Takes all updates that are due and formats them as "s-1 s-2! s-3~"; "!" marks removed and "~" draining
+// instances.
 std::string takeAll(EndpointTracker& tracker, Time now) {
   std::string all;
   while (const auto list = tracker.takeUpdate(now))
@@ -39,25 +40,25 @@
 TEST(EndpointTracker, PublishesTheCompleteListThenChanges) {
   EndpointTracker tracker;
   tracker.onSnapshot(kStart, {makeInstance("s-1", 1), makeInstance("s-2", 2)});
-  const auto complete = tracker.takeUpdate(kStart);
-  ASSERT_TRUE(complete);
-  EXPECT_TRUE(complete->reset);
-  EXPECT_EQ(complete->instances.size(), 2u);
-  EXPECT_EQ(complete->instances[0].startedMs, 0);  // long ago: the instances of the initial list may be warm
+  const auto initial = tracker.takeUpdate(kStart);
+  ASSERT_TRUE(initial);
+  EXPECT_TRUE(initial->reset);
+  EXPECT_EQ(initial->instances.size(), 2u);
+  EXPECT_EQ(initial->instances[0].startedMs, 0);  // instances of the initial list started long ago
   EXPECT_FALSE(tracker.takeUpdate(kStart));
   tracker.onSnapshot(kStart + seconds(1), {makeInstance("s-1", 1), makeInstance("s-2", 2)});
-  EXPECT_FALSE(tracker.takeUpdate(kStart + seconds(1)));  // nothing new
-  Instance leaving = makeInstance("s-2", 2);
-  leaving.state = Lifecycle::Draining;
-  tracker.onSnapshot(kStart + seconds(2), {leaving, makeInstance("s-3", 3)});
+  EXPECT_FALSE(tracker.takeUpdate(kStart + seconds(1)));  // nothing has changed
+  Instance draining = makeInstance("s-2", 2);
+  draining.state = Lifecycle::Draining;
+  tracker.onSnapshot(kStart + seconds(2), {draining, makeInstance("s-3", 3)});
   const auto change = tracker.takeUpdate(kStart + seconds(2));
   ASSERT_TRUE(change);
   EXPECT_FALSE(change->reset);
-  EXPECT_GT(change->generation, complete->generation);
+  EXPECT_GT(change->generation, initial->generation);
   EXPECT_EQ(change->instances.size(), 3u);
 }
 
-TEST(EndpointTracker, WithdrawsAllOfAnEmptiedZoneAndPublishesThemAgain) {
+TEST(EndpointTracker, WithdrawsAndRepublishesAllInstancesOfAnEmptiedZone) {
   EndpointTracker tracker;
   tracker.onSnapshot(kStart, {makeInstance("s-1", 1), makeInstance("s-2", 2)});
   takeAll(tracker, kStart);
@@ -67,26 +68,29 @@
   EXPECT_EQ(takeAll(tracker, kStart + seconds(9)), "s-1 s-2");
 }
 
-// An instance that returns or is new started at that moment, unless the source says otherwise.
-TEST(EndpointTracker, AReturnCountsAsAStart) {
+// An instance that is new or returns is assumed to have started at that moment, unless the source gives a
+// start time.
+TEST(EndpointTracker, InfersTheStartOfNewAndReturningInstances) {
   EndpointTracker tracker;
   tracker.onSnapshot(kStart, {makeInstance("s-1", 1), makeInstance("s-2", 2, 77)});
   takeAll(tracker, kStart);
   tracker.onSnapshot(kStart + seconds(1), {});
   takeAll(tracker, kStart + seconds(1));
-  const Time back = kStart + seconds(5);
-  tracker.onSnapshot(back, {makeInstance("s-1", 1), makeInstance("s-2", 2, 77), makeInstance("s-3", 3)});
-  const auto list = tracker.takeUpdate(back);
+  const Time returnedAt = kStart + seconds(5);
+  tracker.onSnapshot(returnedAt,
+                     {makeInstance("s-1", 1), makeInstance("s-2", 2, 77), makeInstance("s-3", 3)});
+  const auto list = tracker.takeUpdate(returnedAt);
   ASSERT_TRUE(list);
   for (const Instance& instance : list->instances)
-    EXPECT_EQ(instance.startedMs, instance.name == "s-2" ? 77 : back.count() / 1000) << instance.name;
-  // A start in the future counts as a start now.
-  tracker.onSnapshot(back + seconds(1), {makeInstance("s-1", 1, (back + seconds(900)).count() / 1000)});
-  const auto ahead = tracker.takeUpdate(back + seconds(1));
-  ASSERT_TRUE(ahead);
-  for (const Instance& instance : ahead->instances)
+    EXPECT_EQ(instance.startedMs, instance.name == "s-2" ? 77 : returnedAt.count() / 1000) << instance.name;
+  // A start time in the future is replaced by the current time.
+  tracker.onSnapshot(returnedAt + seconds(1),
+                     {makeInstance("s-1", 1, (returnedAt + seconds(900)).count() / 1000)});
+  const auto future = tracker.takeUpdate(returnedAt + seconds(1));
+  ASSERT_TRUE(future);
+  for (const Instance& instance : future->instances)
     if (instance.name == "s-1") {
-      EXPECT_EQ(instance.startedMs, (back + seconds(1)).count() / 1000);
+      EXPECT_EQ(instance.startedMs, (returnedAt + seconds(1)).count() / 1000);
     }
 }
 
@@ -105,9 +109,10 @@
     tracker.onSnapshot(now, {makeInstance("s-1", 1), makeInstance("s-2", 2)});
     published += takeAll(tracker, now) == "s-1";
   }
-  EXPECT_EQ(published, 1);  // one return is no flap
-  EXPECT_EQ(withdrawn, 2);  // each time it was published
-  // Once it stays, it is published within the maximum suppression time, by the deadline alone.
+  EXPECT_EQ(published, 1);  // the first return is not suppressed
+  EXPECT_EQ(withdrawn, 2);  // once for each time it was published
+  // Once it stays present, it is published at the deadline, without a further event, within the maximum
+  // suppression time.
   ASSERT_TRUE(tracker.nextDeadline());
   EXPECT_LE(*tracker.nextDeadline(), now + seconds(60));
   EXPECT_GT(*tracker.nextDeadline(), now + seconds(10));
@@ -115,7 +120,7 @@
   EXPECT_EQ(takeAll(tracker, *tracker.nextDeadline()), "s-1");
 }
 
-TEST(EndpointTracker, ARenamedServerKeepsItsStart) {
+TEST(EndpointTracker, RenamedServerKeepsItsStartTime) {
   EndpointTracker tracker;
   tracker.onSnapshot(kStart, {makeInstance("s-1", 1), makeInstance("s-2", 2)});
   takeAll(tracker, kStart);
@@ -129,7 +134,7 @@
         << instance.name;
 }
 
-TEST(EndpointTracker, OfTwoInstancesAtOneAddressThePublishedOneStays) {
+TEST(EndpointTracker, PublishedInstanceKeepsAnAddressThatAnotherAlsoClaims) {
   EndpointTracker tracker;
   tracker.onSnapshot(kStart, {makeInstance("s-5", 1)});
   takeAll(tracker, kStart);
@@ -141,8 +146,9 @@
   EXPECT_EQ(takeAll(tracker, kStart + seconds(2)), "s-5! s-1");
 }
 
-// An id stands for one server: requests in flight to the old one must not count for the new one.
-TEST(EndpointTracker, ANameAtANewAddressIsAnotherServer) {
+// Guards against wrong accounting: if both servers had the same id, requests in flight to the old server
+// would count for the new one.
+TEST(EndpointTracker, NameWithANewAddressIsPublishedAsAnotherServer) {
   EndpointTracker tracker;
   tracker.onSnapshot(kStart, {makeInstance("s-1", 1)});
   takeAll(tracker, kStart);
@@ -173,12 +179,12 @@
   EXPECT_EQ(view.lastUpdateAt, kStart);
   EXPECT_EQ(tracker.nextDeadline(), kStart + seconds(30));
   EXPECT_EQ(takeAll(tracker, kStart + seconds(30)), "s-1!");
-  EXPECT_EQ(tracker.nextDeadline(), std::nullopt);  // once
+  EXPECT_EQ(tracker.nextDeadline(), std::nullopt);  // the list expires only once
   tracker.onSnapshot(kStart + seconds(90), {makeInstance("s-1", 1)});
   EXPECT_EQ(takeAll(tracker, kStart + seconds(90)), "s-1");
 }
 
-TEST(EndpointTracker, ForgetsNamesThatHaveLongBeenGone) {
+TEST(EndpointTracker, ForgetsNamesThatWereWithdrawnLongAgo) {
   EndpointTracker tracker;
   Time now = kStart;
   for (int k = 0; k < 5000; ++k) {
@@ -197,7 +203,7 @@
   change.instances.push_back(makeInstance("s-1", 1));
   change.instances.back().state = Lifecycle::Removed;
   tracker.onChange(kStart, change);
-  tracker.onChange(kStart, {43, false, {}});  // no change, which confirms the list all the same
+  tracker.onChange(kStart, {43, false, {}});  // without changes, but it confirms the list
   EXPECT_EQ(tracker.generation(), 43u);
   EXPECT_EQ(tracker.takeUpdate(kStart)->generation, 41u);
   EXPECT_EQ(tracker.takeUpdate(kStart)->instances.size(), 2u);
@@ -206,7 +212,7 @@
   EXPECT_EQ(tracker.view(kStart).rows.size(), 2u);
 }
 
-TEST(EndpointTracker, ACompleteListPublishesOnlyWhatHasChanged) {
+TEST(EndpointTracker, PublishesOnlyTheChangesOfACompleteList) {
   EndpointTracker tracker;
   tracker.assumePublished({makeInstance("s-1", 1), makeInstance("s-2", 2), makeInstance("s-3", 3)});
   tracker.onChange(kStart, {41, true, {makeInstance("s-1", 1), makeInstance("s-2", 9)}});
@@ -220,7 +226,7 @@
   EXPECT_FALSE(tracker.hasMoreUpdates());
 }
 
-TEST(EndpointTracker, LongListsComeInPartsWithWithdrawalsFirst) {
+TEST(EndpointTracker, SplitsLongListsIntoPartsWithWithdrawalsFirst) {
   EndpointTracker tracker;
   EndpointListUpdate list{41, true, {}};
   for (int k = 0; k < 1000; ++k) list.instances.push_back(makeInstance("s-" + std::to_string(k), 1 + k));
@@ -240,7 +246,7 @@
   EXPECT_EQ(names.size(), 1000u);
 }
 
-TEST(EndpointTracker, PartsOfListsAddUpToTheSourceOnAnyHistory) {
+TEST(EndpointTracker, PartsOfRandomListsAddUpToTheListOfTheSource) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     pcg32 random(seed);
     EndpointTracker tracker;
@@ -263,7 +269,7 @@
         for (const auto& [name, instance] : source) change.instances.push_back(instance);
       }
       tracker.onChange(kStart, change);
-      if (random(2) == 0) continue;  // the next list comes before this one's parts have been taken
+      if (random(2) == 0) continue;  // the next list arrives before the parts of this one are taken
       while (const auto update = tracker.takeUpdate(kStart))
         for (const Instance& instance : update->instances) {
           if (instance.state == Lifecycle::Removed)
@@ -276,9 +282,9 @@
   }
 }
 
-// Whatever a source delivers in whatever order: the updates add up to a list in which every name is present,
-// no address stands twice, and nothing that was withdrawn is left.
-TEST(EndpointTracker, UpdatesAddUpToTheListOnAnyHistory) {
+// For random snapshots and failures, the updates add up to a list of instances that are all in the snapshot,
+// each with a unique address.
+TEST(EndpointTracker, UpdatesOfRandomSnapshotsAddUpToAValidList) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     pcg32 random(seed);
     EndpointTracker tracker;
@@ -306,10 +312,10 @@
       }
       if (fails) continue;
       for (const auto& [name, instance] : published) {
-        const std::string plain = name.substr(0, name.find('#'));
+        const std::string listedName = name.substr(0, name.find('#'));
         const bool listed =
             std::any_of(snapshot.begin(), snapshot.end(), [&, &server = instance](const Instance& candidate) {
-              return candidate.name == plain && candidate.address == server.address;
+              return candidate.name == listedName && candidate.address == server.address;
             });
         ASSERT_TRUE(listed) << "seed " << seed << " step " << step << ": " << name;
         for (const auto& [other, otherInstance] : published)
--- a/tests/flap_damping_test.cpp
+++ b/tests/flap_damping_test.cpp
@@ -1,4 +1,4 @@
-// Flap damping: penalties, their decay, suppression and reuse.
+// Flap damping: penalties and their decay, suppression and reuse.
 #include "discovery/flap_damping.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 const FlapDampingPolicy::Time kStart = seconds(1000);
 
-TEST(FlapDamping, APenaltyHalvesEveryHalfLife) {
+TEST(FlapDamping, PenaltyHalvesEveryHalfLife) {
   const FlapDampingPolicy policy;
   FlapPenalty penalty;
   EXPECT_EQ(penalty.value(policy, kStart), 0);
@@ -31,7 +31,7 @@
   penalty.onWithdrawal(policy, kStart);
   penalty.onReturn(policy, kStart);
   ASSERT_TRUE(penalty.isSuppressed());
-  EXPECT_EQ(penalty.suppressedUntil(), kStart + seconds(30));  // from 3 to 0.75: two half-lives
+  EXPECT_EQ(penalty.suppressedUntil(), kStart + seconds(30));  // two half-lives, from 3 to 0.75
   penalty.update(kStart + seconds(29));
   EXPECT_TRUE(penalty.isSuppressed());
   penalty.update(kStart + seconds(30));
