--- a/src/app/cli.cpp
+++ b/src/app/cli.cpp
@@ -18,20 +18,21 @@
 constexpr int kExitFailure = 1;
 constexpr int kExitUsage = 2;
 
-int serveByPlatformConfig() {
+int serveWithPlatformConfig() {
   const char* const path = std::getenv("NODE_CONFIG");
-  if (!path) throw InvalidInput("variable NODE_CONFIG is not set, and no command is given; see --help");
+  if (!path)
+    throw InvalidInput("environment variable NODE_CONFIG is not set and no command is given; see --help");
   blockSignals();
   return serve(readConfig(path), [path] { return readConfig(path, InitialEndpoints::Skip); });
 }
 
-// Prints every error on a line of its own, so that one round of corrections is enough.
+// Prints every error on a separate line, so that all can be corrected in one round.
 int checkSettings(const std::string& path) {
   try {
     const Config config = readSettings(path);
     std::printf(
-        "%s: good; %zu classes, %zu members known at the start, %zu client connections, %zu to data "
-        "servers\n",
+        "%s: valid; %zu request classes, %zu members known at startup, at most %zu client connections and "
+        "%zu connections to data servers\n",
         path.c_str(), config.classes.size(), config.initialEndpoints.instances.size(),
         config.maxClientConnections, config.maxServerConnections);
     return 0;
@@ -43,13 +44,15 @@
 
 int printSettingsPage() { return std::fputs(settingsPage().c_str(), stdout) < 0 ? kExitFailure : 0; }
 
-// The parser of the command line and the options that it fills.
+// The command line parser and the options that it sets.
 class Commands {
  public:
   Commands() {
     app_.set_version_flag("--version", std::string("stonebay ") + kVersion);
     app_.require_subcommand(1);
-    app_.footer("With no arguments it serves by the JSON file that NODE_CONFIG names.");
+    app_.footer(
+        "Without arguments, runs the proxy with the JSON file that the environment variable NODE_CONFIG "
+        "names.");
     addServe();
     addCheck();
     addMembers();
@@ -71,32 +74,32 @@
 
  private:
   void addServe() {
-    serve_ = app_.add_subcommand("serve", "serve until SIGTERM; SIGHUP reads the file again");
+    serve_ = app_.add_subcommand("serve", "run the proxy until SIGTERM; SIGHUP reloads the file");
     addConfigOption(*serve_);
   }
 
   void addCheck() {
-    check_ =
-        app_.add_subcommand("check", "say what is wrong in a file of settings: file, line, key and the fix");
-    CLI::Option* const file = check_->add_option("FILE", path_, "file of settings (INI)");
+    check_ = app_.add_subcommand(
+        "check", "check a settings file and print each error with its line, key and correction");
+    CLI::Option* const file = check_->add_option("FILE", path_, "settings file (INI)");
     check_->add_flag("--keys", printKeys_, "print every key with its kind, default and meaning (Markdown)")
         ->excludes(file);
   }
 
   void addMembers() {
-    members_ = app_.add_subcommand("members", "show the data servers that discovery finds now");
+    members_ = app_.add_subcommand("members", "list the data servers that discovery currently reports");
     addConfigOption(*members_);
-    members_->add_flag("--json", membersOptions_.json, "as JSON");
+    members_->add_flag("--json", membersOptions_.json, "print JSON instead of a table");
     members_->add_option("--wait", membersOptions_.waitSeconds, "seconds to wait for discovery")
         ->check(CLI::Range(0.1, 300.0))
         ->capture_default_str();
   }
 
   void addConfigOption(CLI::App& command) {
-    command.add_option("--config", path_, "file of settings (INI)")->required();
+    command.add_option("--config", path_, "settings file (INI)")->required();
   }
 
-  CLI::App app_{"stonebay: a proxy before replicated databases", "stonebay"};
+  CLI::App app_{"stonebay: a proxy in front of replicated databases", "stonebay"};
   CLI::App* serve_ = nullptr;
   CLI::App* check_ = nullptr;
   CLI::App* members_ = nullptr;
@@ -107,9 +110,9 @@
 
 }  // namespace
 
-int commandLine(int argc, char** argv) {
+int runCommandLine(int argc, char** argv) {
   try {
-    if (argc < 2) return serveByPlatformConfig();
+    if (argc < 2) return serveWithPlatformConfig();
     return Commands().run(argc, argv);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "stonebay: %s\n", e.what());
--- a/src/app/cli.hpp
+++ b/src/app/cli.hpp
@@ -1,11 +1,11 @@
-// The command line, on CLI11.
+// The command line interface, based on CLI11.
 #pragma once
 
 namespace stonebay {
 
-/// Runs the command that the arguments name; without arguments it serves by the platform's JSON file, which
-/// the variable NODE_CONFIG names. Returns the exit status: 0 success; 1 the command failed (standard error
-/// says why); 2 the command line is invalid.
-int commandLine(int argc, char** argv);
+/// Runs the command given by the arguments. Without arguments, runs the proxy with the platform's JSON file,
+/// whose path is in the environment variable NODE_CONFIG. Returns the exit status: 0 on success, 1 if the
+/// command failed (the reason is printed to standard error), 2 if the command line is invalid.
+int runCommandLine(int argc, char** argv);
 
 }  // namespace stonebay
--- a/src/app/discovery_source.cpp
+++ b/src/app/discovery_source.cpp
@@ -9,8 +9,9 @@
 namespace stonebay {
 namespace {
 
-// The kind of source is fixed while the program runs.
-bool keepsSource(const Config& config, Source current) {
+// The type of discovery cannot change while the process runs. Logs a warning and returns false if the new
+// configuration has another type.
+bool checkTypeUnchanged(const Config& config, DiscoveryType current) {
   if (config.source == current) return true;
   logEvent(LogLevel::Warning, "settings_need_restart", {{"key", "[discovery] source"}});
   return false;
@@ -22,18 +23,18 @@
       : watch_(base, feed, config.discovery) {}
   void watch(std::uint64_t after) override { watch_.watch(after); }
   void reconfigure(const Config& config) override {
-    if (keepsSource(config, Source::Registry)) watch_.setAddress(config.discovery);
+    if (checkTypeUnchanged(config, DiscoveryType::Registry)) watch_.setAddress(config.discovery);
   }
 
  private:
   RegistryWatch watch_;
 };
 
-// The endpoints of the configuration itself.
+// A fixed endpoint list, which the configuration file contains.
 class FixedSource final : public DiscoverySource {
  public:
   void watch(std::uint64_t /*after*/) override {}
-  void reconfigure(const Config& config) override { keepsSource(config, Source::Fixed); }
+  void reconfigure(const Config& config) override { checkTypeUnchanged(config, DiscoveryType::Fixed); }
 };
 
 #ifdef STONEBAY_DNSSD
@@ -41,9 +42,9 @@
  public:
   DnsSdSource(event_base* base, const Clock& clock, EndpointFeed& feed, const Config& config)
       : feed_(feed), client_(base, clock, feed, config) {}
-  void watch(std::uint64_t /*after*/) override {}  // the client queries on its own schedule
+  void watch(std::uint64_t /*after*/) override {}  // DnsSdClient schedules its queries itself
   void reconfigure(const Config& config) override {
-    if (!keepsSource(config, Source::DnsSd)) return;
+    if (!checkTypeUnchanged(config, DiscoveryType::DnsSd)) return;
     feed_.setPolicy(trackerPolicy(config));
     client_.reconfigure(config);
   }
@@ -59,7 +60,7 @@
 
 EndpointTrackerPolicy trackerPolicy(const Config& config) {
   EndpointTrackerPolicy policy;
-  if (config.source != Source::DnsSd) {
+  if (config.source != DiscoveryType::DnsSd) {
     policy.damping.enabled = false;
     return policy;
   }
@@ -75,17 +76,17 @@
 std::unique_ptr<DiscoverySource> openDiscoverySource(event_base* base, const Clock& clock, EndpointFeed& feed,
                                                      const Config& config) {
   switch (config.source) {
-    case Source::Fixed:
+    case DiscoveryType::Fixed:
       return std::make_unique<FixedSource>();
-    case Source::DnsSd:
+    case DiscoveryType::DnsSd:
 #ifdef STONEBAY_DNSSD
       return std::make_unique<DnsSdSource>(base, clock, feed, config);
 #else
       (void)clock;
       throw InvalidInput(
-          "key [discovery] source: this build has no DNS-SD; build it with -DSTONEBAY_DNSSD=ON");
+          "key [discovery] source: this build does not support DNS-SD; build it with -DSTONEBAY_DNSSD=ON");
 #endif
-    case Source::Registry:
+    case DiscoveryType::Registry:
       break;
   }
   return std::make_unique<RegistrySource>(base, feed, config);
--- a/src/app/discovery_source.hpp
+++ b/src/app/discovery_source.hpp
@@ -1,4 +1,4 @@
-// The configured source of the endpoint list.
+// The source of the endpoint list, as configured.
 #pragma once
 
 #include <map>
@@ -13,17 +13,18 @@
 /// A source that delivers endpoint lists to an EndpointFeed.
 class DiscoverySource : public EndpointWatcher {
  public:
-  /// Applies new discovery settings while the program runs. A change of the kind of source needs a restart:
-  /// it is logged and ignored.
+  /// Applies new discovery settings while the process runs. A change of the discovery type requires a
+  /// restart, so it is logged and ignored.
   virtual void reconfigure(const Config&) = 0;
-  /// Instances that are invalid and therefore not in the list: the reason by instance name.
+  /// Returns the instances that are invalid and therefore not in the list: the reason by instance name.
   virtual std::map<std::string, std::string> faults() const { return {}; }
 };
 
-/// How the source's list is damped and when it expires.
+/// Returns the policy for flap damping and for the expiry of the endpoint list.
 EndpointTrackerPolicy trackerPolicy(const Config& config);
 
-/// The source that the configuration names. Throws InvalidInput when this build lacks it.
+/// Creates the source that the configuration specifies. Throws InvalidInput if this build does not support
+/// it.
 std::unique_ptr<DiscoverySource> openDiscoverySource(event_base* base, const Clock& clock, EndpointFeed& feed,
                                                      const Config& config);
 
--- a/src/app/members.cpp
+++ b/src/app/members.cpp
@@ -37,9 +37,9 @@
 }
 
 std::string formatListAge(const MembersView& view) {
-  if (!view.members.lastUpdateAt) return "discovery has told nothing";
+  if (!view.members.lastUpdateAt) return "no update received";
   const std::chrono::duration<double> age = view.now - *view.members.lastUpdateAt;
-  return fmt::format("told {:.1f} s ago", age.count());
+  return fmt::format("last update {:.1f} s ago", age.count());
 }
 
 TableRow tableRow(const Config& config, const EndpointTracker::Row& row) {
@@ -91,12 +91,12 @@
   return (view.now - *view.members.lastUpdateAt).count() / 1000;
 }
 
-void print(const Config& config, const MembersOptions& options, const MembersView& view) {
+void printMembers(const Config& config, const MembersOptions& options, const MembersView& view) {
   const std::string text = options.json ? membersJson(config, view) : membersTable(config, view);
   std::fputs(text.c_str(), stdout);
 }
 
-// Notes whether discovery has answered, and ends the event loop when it has or has failed.
+// Records whether discovery has delivered a list, and stops the event loop once it has, or has failed.
 class ListRecorder final : public EndpointListHandler {
  public:
   explicit ListRecorder(event_base* base) : base_(base) {}
@@ -117,18 +117,18 @@
  private:
   event_base* base_;
   bool received_ = false;
-  std::string failure_ = "no word within the wait";
+  std::string failure_ = "no answer within the wait time";
 };
 
-// Runs the event loop until discovery has answered or failed, or the wait is over.
-void awaitList(event_base* base, double waitSeconds) {
+// Runs the event loop until discovery has delivered a list or failed, or the wait time is over.
+void waitForList(event_base* base, double waitSeconds) {
   const std::chrono::duration<double> wait(waitSeconds);
   const timeval limit = toTimeval(std::chrono::duration_cast<std::chrono::microseconds>(wait));
   event_base_loopexit(base, &limit);
   event_base_dispatch(base);
 }
 
-// The endpoints of the configuration, which discovery has not confirmed.
+// Returns the endpoints in the configuration, for use if discovery delivers no list.
 MembersView configuredMembers(const Config& config, const Clock& clock) {
   EndpointTracker known;
   known.onSnapshot(clock.now(), config.initialEndpoints.instances);
@@ -142,17 +142,18 @@
 
 std::string membersTable(const Config& config, const MembersView& view) {
   std::vector<TableRow> rows{TableRow(std::begin(kColumns), std::end(kColumns))};
-  std::size_t used = 0;
+  std::size_t usedCount = 0;
   for (const EndpointTracker::Row& row : view.members.rows) {
-    if (row.exclusion == ExclusionReason::None) ++used;
+    if (row.exclusion == ExclusionReason::None) ++usedCount;
     rows.push_back(tableRow(config, row));
   }
   for (const auto& [name, reason] : view.faults) rows.push_back({name, "", "", "", "", "", "", "", reason});
   const std::vector<std::size_t> widths = columnWidths(rows);
   std::string text;
   for (const TableRow& row : rows) text += formatRow(row, widths);
-  const std::size_t leftOut = rows.size() - 1 - used;
-  return text + fmt::format("{} data servers, {} left out; {}\n", used, leftOut, formatListAge(view));
+  const std::size_t leftOutCount = rows.size() - 1 - usedCount;
+  return text +
+         fmt::format("{} data servers, {} left out; {}\n", usedCount, leftOutCount, formatListAge(view));
 }
 
 std::string membersJson(const Config& config, const MembersView& view) {
@@ -164,7 +165,8 @@
   Json page{{"members", std::move(used)}, {"left_out", std::move(leftOut)}};
   page["list_age_ms"] = jsonListAge(view);
   if (view.members.failingSince) page["failing"] = view.members.failureReason;
-  // Names come from the network: bytes that are not UTF-8 are replaced instead of being an error.
+  // Names come from the network and may be invalid UTF-8. Invalid bytes are replaced; by default dump()
+  // throws.
   return page.dump(kJsonIndent, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
@@ -174,20 +176,20 @@
   ListRecorder recorder(base.get());
   EndpointFeed feed(base.get(), clock, recorder, trackerPolicy(config));
   const std::unique_ptr<DiscoverySource> source = openDiscoverySource(base.get(), clock, feed, config);
-  if (config.source == Source::Fixed) {
+  if (config.source == DiscoveryType::Fixed) {
     feed.onSnapshot(config.initialEndpoints.instances, true);
   } else {
     source->watch(0);
-    awaitList(base.get(), options.waitSeconds);
+    waitForList(base.get(), options.waitSeconds);
   }
   if (!recorder.received()) {
-    print(config, options, configuredMembers(config, clock));
-    std::fprintf(stderr, "stonebay: discovery: %s; shown is what the settings know\n",
+    printMembers(config, options, configuredMembers(config, clock));
+    std::fprintf(stderr, "stonebay: discovery: %s; showing the members in the settings file\n",
                  recorder.failure().c_str());
     return 1;
   }
   std::map<std::string, std::string> faults = source->faults();
-  print(config, options, {feed.view(), std::move(faults), clock.now()});
+  printMembers(config, options, {feed.view(), std::move(faults), clock.now()});
   return 0;
 }
 
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -16,8 +16,9 @@
 namespace stonebay {
 namespace {
 
-// Of the configuration, discovery alone can change while the proxy serves. A file with errors changes
-// nothing. Reading blocks the event loop, which is tolerable for a small local file.
+// Applies the discovery settings of the reloaded configuration; all other settings require a restart. If the
+// file has errors, nothing changes. Reading it blocks the event loop, which is acceptable for a small local
+// file.
 void reloadDiscovery(DiscoverySource& source, const std::function<Config()>& reloadConfig) {
   try {
     source.reconfigure(reloadConfig());
@@ -30,12 +31,12 @@
 }  // namespace
 
 int serve(const Config& config, const std::function<Config()>& reloadConfig) {
-  setLog(config.logForm, config.logLevel);
+  configureLog(config.logFormat, config.logLevel);
   const EventBase base(event_base_new());
   Dispatcher dispatcher(base.get(), config);
   ConnectionPool upstream(base.get(), dispatcher, config);
   EndpointFeed feed(base.get(), dispatcher.clock(), dispatcher, trackerPolicy(config));
-  if (config.source == Source::Registry) feed.assumePublished(config.initialEndpoints.instances);
+  if (config.source == DiscoveryType::Registry) feed.assumePublished(config.initialEndpoints.instances);
   const std::unique_ptr<DiscoverySource> source =
       openDiscoverySource(base.get(), dispatcher.clock(), feed, config);
   ClientListener clients(base.get(), dispatcher, config);
--- a/src/app/serve.hpp
+++ b/src/app/serve.hpp
@@ -1,4 +1,4 @@
-// A running proxy: everything that serves, from the checked configuration to the exit.
+// Runs the proxy with a validated configuration until it exits.
 #pragma once
 
 #include <functional>
@@ -7,9 +7,9 @@
 
 namespace stonebay {
 
-/// Serves until SIGTERM or SIGINT has drained the clients; returns the exit status. SIGHUP calls
-/// `reloadConfig`, which reads and checks the configuration again and throws InvalidInput if it has errors.
-/// Throws std::runtime_error if the proxy cannot listen.
+/// Runs the proxy until SIGTERM or SIGINT arrives and all clients have been drained. Returns the exit status.
+/// SIGHUP calls `reloadConfig`, which must read and validate the configuration again and throw InvalidInput
+/// if it has errors. Throws std::runtime_error if the proxy cannot listen.
 int serve(const Config& config, const std::function<Config()>& reloadConfig);
 
 }  // namespace stonebay
--- a/src/app/signals.hpp
+++ b/src/app/signals.hpp
@@ -1,4 +1,4 @@
-// Signals of the process, handled in the event loop.
+// Handles signals of the process in the event loop.
 #pragma once
 
 #include <functional>
@@ -7,12 +7,12 @@
 
 namespace stonebay {
 
-/// Blocks the signals that SignalHandlers handles: one that comes while the process starts waits for its
-/// handler.
+/// Blocks the signals that SignalHandlers handles, so that a signal that arrives while the process starts
+/// stays pending until its handler is installed.
 void blockSignals();
 
-/// Unblocks the signals. Calls one of two functions from the event loop: `shutDown` on SIGTERM or SIGINT,
-/// `reload` on SIGHUP.
+/// Installs the signal handlers and unblocks the signals. Calls `shutDown` on SIGTERM and SIGINT, and
+/// `reload` on SIGHUP, from the event loop.
 class SignalHandlers {
  public:
   SignalHandlers(event_base* base, std::function<void()> shutDown, std::function<void()> reload);
--- a/src/app/statistics_log.cpp
+++ b/src/app/statistics_log.cpp
@@ -7,7 +7,7 @@
 namespace stonebay {
 namespace {
 
-constexpr Duration kInterval = std::chrono::seconds(10);
+constexpr Duration kLogInterval = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -19,7 +19,7 @@
       timer_(event_new(
           base, -1, EV_PERSIST,
           [](evutil_socket_t, short, void* self) { static_cast<StatisticsLog*>(self)->write(); }, this)) {
-  startTimer(timer_.get(), kInterval);
+  startTimer(timer_.get(), kLogInterval);
 }
 
 StatisticsLog::~StatisticsLog() { write(); }
--- a/src/app/statistics_log.hpp
+++ b/src/app/statistics_log.hpp
@@ -1,4 +1,4 @@
-// The periodic log line of a running proxy's figures.
+// Logs statistics of a running proxy periodically.
 #pragma once
 
 #include "dispatch/dispatcher.hpp"
@@ -8,10 +8,10 @@
 
 namespace stonebay {
 
-/// Logs "statistics" at a steady interval and when it is destroyed, so that a short run has a line as well.
+/// Logs the event "statistics" every 10 seconds and on destruction, so that short runs are logged as well.
 class StatisticsLog {
  public:
-  /// What it reports on must outlive it.
+  /// The objects that are passed must outlive this object.
   StatisticsLog(event_base* base, Dispatcher& dispatcher, const ConnectionPool& upstream,
                 const ClientListener& clients);
   ~StatisticsLog();
--- a/src/codec/dns/ldns_handle.hpp
+++ b/src/codec/dns/ldns_handle.hpp
@@ -1,4 +1,4 @@
-// Ownership of ldns objects, and the conversion between a Name and ldns's form of it.
+// Owning handles for ldns objects, and conversion between a Name and the ldns representation of it.
 #pragma once
 
 #include <ldns/ldns.h>
@@ -18,13 +18,13 @@
   void operator()(char* text) const { std::free(text); }
   void operator()(std::uint8_t* bytes) const { std::free(bytes); }
 };
-/// An ldns object, or memory that ldns has allocated, with its owner.
+/// Owns an ldns object, or memory that ldns has allocated.
 template <typename T>
 using LdnsHandle = std::unique_ptr<T, LdnsDeleter>;
 
-/// The canonical Name in a field; empty when the field holds none.
+/// Returns the canonical name in a field, or an empty Name if the field does not contain a name.
 Name nameFromField(const ldns_rdf* field);
-/// Null when the text is not a name.
+/// Returns the name as an ldns field, or null if the text is not a valid name.
 LdnsHandle<ldns_rdf> fieldFromName(const Name& name);
 
 }  // namespace stonebay::dns
--- a/src/codec/dns/message.cpp
+++ b/src/codec/dns/message.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kIpv4Bytes = 4;
 constexpr std::size_t kIpv6Bytes = 16;
 
-// Fields of an encoded SOA record that a Soa does not hold.
+// Values for the fields of an encoded SOA record that the Soa struct does not have.
 constexpr const char* kSoaPrimary = "ns.invalid.";
 constexpr const char* kSoaMailbox = "admin.invalid.";
 constexpr std::uint32_t kSoaRefreshSeconds = 3600;
@@ -49,7 +49,7 @@
 std::optional<Data> decodeTxt(const ldns_rr* record) {
   Strings strings;
   for (std::size_t i = 0; i < ldns_rr_rd_count(record); ++i) {
-    const std::string field = fieldBytes(ldns_rr_rdf(record, i));  // a length byte, then the string
+    const std::string field = fieldBytes(ldns_rr_rdf(record, i));  // a length byte followed by the string
     if (!field.empty()) strings.push_back(field.substr(1));
   }
   return strings;
@@ -109,7 +109,7 @@
   return Question{nameFromField(ldns_rr_owner(question)), static_cast<Type>(ldns_rr_get_type(question))};
 }
 
-// Appends the data of a record to its encoded form; false when that fails.
+// Visitor of Data that appends the data to an encoded record. Returns false if that fails.
 class DataEncoder {
  public:
   explicit DataEncoder(ldns_rr* record) : record_(record) {}
@@ -153,7 +153,7 @@
   ldns_rr* record_;
 };
 
-// Leaves out a record that cannot be encoded.
+// Encodes the records of one section. Records that cannot be encoded are skipped.
 void encodeSection(ldns_pkt* packet, ldns_pkt_section section, const std::vector<Record>& records) {
   for (const Record& record : records) {
     LdnsHandle<ldns_rr> encoded(ldns_rr_new());
@@ -164,7 +164,7 @@
     ldns_rr_set_class(encoded.get(), LDNS_RR_CLASS_IN);
     ldns_rr_set_ttl(encoded.get(), record.ttl);
     if (!std::visit(DataEncoder(encoded.get()), record.data)) continue;
-    // On success the packet owns the record.
+    // ldns_pkt_push_rr takes ownership of the record if it succeeds.
     if (ldns_pkt_push_rr(packet, section, encoded.get())) static_cast<void>(encoded.release());
   }
 }
@@ -180,7 +180,8 @@
 
 enum class Sections { None, WithoutAdditionals, All };
 
-// TC is set with Sections::None. Empty when ldns cannot encode the message.
+// Encodes the given sections. Sets TC for Sections::None. Returns an empty string if ldns cannot encode the
+// message.
 std::string encodeSections(const Message& message, Sections sections) {
   const LdnsHandle<ldns_pkt> packet(ldns_pkt_new());
   if (!packet) return {};
@@ -204,7 +205,7 @@
   return {reinterpret_cast<const char*>(bytes), size};
 }
 
-std::nullopt_t failParse(ParseError* error, ParseError::Code code, const char* detail) {
+std::nullopt_t reportParseError(ParseError* error, ParseError::Code code, const char* detail) {
   if (error) *error = {code, detail};
   return std::nullopt;
 }
@@ -229,14 +230,15 @@
 
 std::optional<Message> parse(std::string_view bytes, ParseError* error) {
   if (bytes.size() < kHeaderBytes)
-    return failParse(error, ParseError::Code::TooShort, "shorter than a message header");
+    return reportParseError(error, ParseError::Code::TooShort, "shorter than a DNS message header");
   if (bytes.size() > kLongestMessage)
-    return failParse(error, ParseError::Code::TooLong, "longer than a message may be");
+    return reportParseError(error, ParseError::Code::TooLong,
+                            "longer than the maximum size of a DNS message");
   ldns_pkt* parsed = nullptr;
   const ldns_status status =
       ldns_wire2pkt(&parsed, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
   const LdnsHandle<ldns_pkt> packet(status == LDNS_STATUS_OK ? parsed : nullptr);
-  if (!packet) return failParse(error, ParseError::Code::Malformed, ldns_get_errorstr_by_id(status));
+  if (!packet) return reportParseError(error, ParseError::Code::Malformed, ldns_get_errorstr_by_id(status));
   Message message;
   message.id = ldns_pkt_id(packet.get());
   message.response = ldns_pkt_qr(packet.get());
--- a/src/codec/dns/name.cpp
+++ b/src/codec/dns/name.cpp
@@ -10,27 +10,28 @@
 
 constexpr std::size_t kMaxLabelBytes = 63;  // RFC 1035 section 2.3.4
 constexpr std::size_t kMaxNameBytes = 255;
-constexpr std::size_t kMaxEscapedBytes = 4 * kMaxNameBytes;  // each byte as \DDD
+constexpr std::size_t kMaxEscapedBytes = 4 * kMaxNameBytes;  // every byte escaped as \DDD
 constexpr std::size_t kDecimalEscapeDigits = 3;
 
-bool isDigit(char text) { return text >= '0' && text <= '9'; }
+bool isDigit(char character) { return character >= '0' && character <= '9'; }
 
-// Characters that stand for themselves in presentation form.
-bool isPlain(char text) {
-  const auto byte = static_cast<unsigned char>(text);
-  return byte > ' ' && byte < 0x7f && std::strchr(".\\();@$\"", text) == nullptr;
+// Whether a character needs no escaping in presentation format.
+bool needsNoEscape(char character) {
+  const auto byte = static_cast<unsigned char>(character);
+  return byte > ' ' && byte < 0x7f && std::strchr(".\\();@$\"", character) == nullptr;
 }
 
-std::string escaped(std::string_view label) {
+std::string escapeLabel(std::string_view label) {
   std::string text;
-  for (const char next : label) {
-    if (isPlain(next)) {
-      text += next;
+  for (const char character : label) {
+    if (needsNoEscape(character)) {
+      text += character;
       continue;
     }
-    char code[5];
-    std::snprintf(code, sizeof code, "\\%03u", static_cast<unsigned>(static_cast<unsigned char>(next)));
-    text += code;
+    char escape[5];
+    std::snprintf(escape, sizeof escape, "\\%03u",
+                  static_cast<unsigned>(static_cast<unsigned char>(character)));
+    text += escape;
   }
   return text;
 }
@@ -60,7 +61,7 @@
 
 std::optional<Name> instanceName(std::string_view label, const Name& service) {
   if (label.empty() || label.size() > kMaxLabelBytes) return std::nullopt;
-  return parseName(escaped(label) + "." + service);
+  return parseName(escapeLabel(label) + "." + service);
 }
 
 std::string firstLabel(const Name& name) {
@@ -70,12 +71,12 @@
       label += name[i];
       continue;
     }
-    const bool decimal = i + kDecimalEscapeDigits < name.size() && isDigit(name[i + 1]);
-    if (decimal)
+    const bool isDecimalEscape = i + kDecimalEscapeDigits < name.size() && isDigit(name[i + 1]);
+    if (isDecimalEscape)
       label += static_cast<char>((name[i + 1] - '0') * 100 + (name[i + 2] - '0') * 10 + (name[i + 3] - '0'));
     else if (i + 1 < name.size())
       label += name[i + 1];
-    i += decimal ? kDecimalEscapeDigits : 1;
+    i += isDecimalEscape ? kDecimalEscapeDigits : 1;
   }
   return label;
 }
@@ -83,13 +84,13 @@
 bool isWithin(const Name& name, const Name& domain) {
   if (name == domain || domain == ".") return true;
   if (name.size() <= domain.size() + 1) return false;
-  const std::size_t domainAt = name.size() - domain.size();
-  const std::size_t dotAt = domainAt - 1;
-  if (name.compare(domainAt, domain.size(), domain) != 0 || name[dotAt] != '.') return false;
-  // A dot after an odd number of backslashes is part of a label.
-  std::size_t escapes = 0;
-  while (dotAt > escapes && name[dotAt - escapes - 1] == '\\') ++escapes;
-  return escapes % 2 == 0;
+  const std::size_t domainOffset = name.size() - domain.size();
+  const std::size_t dotOffset = domainOffset - 1;
+  if (name.compare(domainOffset, domain.size(), domain) != 0 || name[dotOffset] != '.') return false;
+  // A dot after an odd number of backslashes is escaped and therefore part of a label.
+  std::size_t backslashes = 0;
+  while (dotOffset > backslashes && name[dotOffset - backslashes - 1] == '\\') ++backslashes;
+  return backslashes % 2 == 0;
 }
 
 }  // namespace stonebay::dns
--- a/src/codec/dns/name.hpp
+++ b/src/codec/dns/name.hpp
@@ -1,8 +1,8 @@
-// DNS names in presentation form.
+// DNS names in presentation format.
 //
-// A Name is the presentation form of RFC 1035 section 5.1 in lower case, escaped, with the dot at the end:
-// two names are equal when their texts are. The label of a service instance may hold any bytes (RFC 6763
-// section 4.1.1).
+// A Name is in the presentation format of RFC 1035 section 5.1, escaped, in lower case and with a trailing
+// dot, so two names are equal if and only if their strings are. The label of a service instance may contain
+// any bytes (RFC 6763 section 4.1.1).
 #pragma once
 
 #include <optional>
@@ -13,14 +13,15 @@
 
 using Name = std::string;
 
-/// The canonical form of a name; nothing when the text is not a name (a label over 63 bytes, more than 255
-/// bytes in all, an empty label).
+/// Returns the canonical form of a name, or std::nullopt if the text is not a valid name: a label is empty or
+/// longer than 63 bytes, or the name is longer than 255 bytes.
 std::optional<Name> parseName(std::string_view text);
-/// The name of a service instance from its label, which may hold any bytes, and the name of the service.
+/// Returns the name of a service instance, given its label (which may contain any bytes) and the name of the
+/// service. Returns std::nullopt if the label or the resulting name is invalid.
 std::optional<Name> instanceName(std::string_view label, const Name& service);
-/// The first label, unescaped.
+/// Returns the first label, unescaped.
 std::string firstLabel(const Name& name);
-/// Whether the name is the domain itself or below it.
+/// Returns whether the name is the domain itself or below it.
 bool isWithin(const Name& name, const Name& domain);
 
 }  // namespace stonebay::dns
--- a/src/codec/gossip/message.cpp
+++ b/src/codec/gossip/message.cpp
@@ -15,13 +15,13 @@
 constexpr std::size_t kEntryBytes = kKeyBytes + kPositionBytes + kPrimaryBytes + kInFlightBytes;
 constexpr std::size_t kMaxEntries = (kMaxDatagramBytes - kVersionBytes) / kEntryBytes;
 
-// Appends the low bytes of a value, the highest of them first.
+// Appends the low `size` bytes of a value in big-endian order.
 void append(std::string& datagram, std::uint64_t value, std::size_t size) {
   for (std::size_t i = size; i > 0; --i)
     datagram.push_back(static_cast<char>(value >> (kByteBits * (i - 1))));
 }
 
-// Reads a value that append has written, and passes over it.
+// Removes a big-endian value of `size` bytes from the front of the datagram and returns it.
 std::uint64_t consume(std::string_view& datagram, std::size_t size) {
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < size; ++i) value = value << kByteBits | static_cast<unsigned char>(datagram[i]);
@@ -34,7 +34,8 @@
   return (datagram.size() - kVersionBytes) % kEntryBytes == 0;
 }
 
-// The difference of the low 32 bits, taken with its sign, leads from the present to the nearest such instant.
+// Returns the time nearest to `nowMs` that has the given low 32 bits. The signed 32-bit difference to the low
+// bits of `nowMs` is the offset from `nowMs` to that time.
 std::int64_t restorePosition(std::uint32_t lowBits, std::int64_t nowMs) {
   const std::uint32_t difference = lowBits - static_cast<std::uint32_t>(nowMs);
   return nowMs + static_cast<std::int32_t>(difference);
--- a/src/codec/gossip/message.hpp
+++ b/src/codec/gossip/message.hpp
@@ -1,8 +1,9 @@
-// The datagrams by which proxies share what they know of endpoints. Pure: no sockets.
+// Encodes and parses the gossip datagrams in which proxies share their knowledge of endpoints. Pure functions
+// without sockets.
 //
-// A datagram is a version byte and any number of entries, big-endian: the endpoint's key (6 bytes), the low
-// 32 bits of its position in Unix milliseconds, 1 if it is a primary or else 0, its requests in flight (1
-// byte).
+// A datagram is a version byte followed by any number of entries, in big-endian order. An entry is the key of
+// the endpoint (6 bytes), the low 32 bits of its position in Unix milliseconds (4 bytes), its role (1 byte: 1
+// for a primary, otherwise 0) and its number of requests in flight (1 byte).
 #pragma once
 
 #include <cstddef>
@@ -13,26 +14,26 @@
 
 namespace stonebay::gossip {
 
-/// No datagram is longer.
+/// Maximum size of a datagram.
 constexpr std::size_t kMaxDatagramBytes = 256;
-/// Bits of a key that are sent.
+/// Number of bits of a key that are sent.
 constexpr std::uint64_t kKeyBits = 48;
-/// Stands for all greater counts of requests in flight.
+/// Largest number of requests in flight that can be sent; larger numbers are sent as this.
 constexpr int kMaxInFlight = 255;
 
-/// What one proxy has learned of an endpoint.
+/// The state of an endpoint as one proxy knows it.
 struct Message {
   std::uint64_t key = 0;        ///< hash of the endpoint's name, kKeyBits wide
-  std::int64_t positionMs = 0;  ///< Unix time: the endpoint has applied all commits up to here
+  std::int64_t positionMs = 0;  ///< Unix time up to which the endpoint has applied all commits
   bool primary = false;
-  int inFlight = 0;  ///< requests at the endpoint, at most kMaxInFlight after the way through a datagram
+  int inFlight = 0;  ///< requests in flight to the endpoint; at most kMaxInFlight in a parsed message
 };
 
-/// As many datagrams as the messages need, in their order.
+/// Encodes the messages in order, in as many datagrams as needed.
 std::vector<std::string> encode(const std::vector<Message>& messages);
 
-/// The messages of a datagram; none if it is not well-formed or of another version. A position is taken as
-/// the instant nearest to `nowMs` that has the low 32 bits which were sent.
+/// Parses a datagram. Returns an empty vector if it is malformed or of another version. Each position is the
+/// time nearest to `nowMs` that has the low 32 bits in the datagram.
 std::vector<Message> parse(std::string_view datagram, std::int64_t nowMs);
 
 }  // namespace stonebay::gossip
--- a/src/codec/http/http.cpp
+++ b/src/codec/http/http.cpp
@@ -9,7 +9,8 @@
 
 constexpr std::size_t kMaxLineBytes = 8192;
 constexpr std::string_view kVersionPrefix = "HTTP/1.";
-constexpr std::size_t kStatusAt = 9;  // in "HTTP/1.1 200 OK"
+// Offsets of the status code in a status line such as "HTTP/1.1 200 OK".
+constexpr std::size_t kStatusBegin = 9;
 constexpr std::size_t kStatusEnd = 12;
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
@@ -17,12 +18,12 @@
 bool equalsIgnoringCase(std::string_view left, std::string_view right) {
   return std::equal(
       left.begin(), left.end(), right.begin(), right.end(),
-      [](unsigned char one, unsigned char other) { return std::tolower(one) == std::tolower(other); });
+      [](unsigned char first, unsigned char second) { return std::tolower(first) == std::tolower(second); });
 }
 
-bool isBlank(char text) { return text == ' ' || text == '\t'; }
+bool isBlank(char character) { return character == ' ' || character == '\t'; }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim(std::string_view text) {
   while (!text.empty() && isBlank(text.front())) text.remove_prefix(1);
   while (!text.empty() && isBlank(text.back())) text.remove_suffix(1);
   return text;
@@ -42,7 +43,7 @@
 bool Response::onStatusLine(std::string_view line) {
   if (line.size() < kStatusEnd || line.substr(0, kVersionPrefix.size()) != kVersionPrefix) return false;
   const char* const end = line.data() + kStatusEnd;
-  if (std::from_chars(line.data() + kStatusAt, end, status_).ptr != end) return false;
+  if (std::from_chars(line.data() + kStatusBegin, end, status_).ptr != end) return false;
   chunked_ = false;
   hasLength_ = false;
   state_ = State::Headers;
@@ -57,7 +58,7 @@
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) return false;
   const std::string_view name = line.substr(0, colon);
-  const std::string_view value = trimmed(line.substr(colon + 1));
+  const std::string_view value = trim(line.substr(colon + 1));
   if (equalsIgnoringCase(name, "Transfer-Encoding")) {
     if (!equalsIgnoringCase(value, "chunked")) return false;
     chunked_ = true;
@@ -71,11 +72,11 @@
 }
 
 void Response::onHeadersComplete() {
-  const bool interim = status_ >= 100 && status_ < 200;
-  const bool empty = !chunked_ && hasLength_ && remaining_ == 0;
-  if (interim)
+  const bool isInterim = status_ >= 100 && status_ < 200;
+  const bool hasEmptyBody = !chunked_ && hasLength_ && remaining_ == 0;
+  if (isInterim)
     state_ = State::StatusLine;  // the final response follows
-  else if (status_ == kNoContent || status_ == kNotModified || empty)
+  else if (status_ == kNoContent || status_ == kNotModified || hasEmptyBody)
     state_ = State::Complete;
   else if (chunked_)
     state_ = State::ChunkSize;
--- a/src/codec/http/http.hpp
+++ b/src/codec/http/http.hpp
@@ -1,4 +1,4 @@
-// A minimal HTTP/1.1 client codec. Pure: no sockets.
+// A minimal HTTP/1.1 client codec without sockets.
 #pragma once
 
 #include <cstddef>
@@ -7,21 +7,22 @@
 
 namespace stonebay::http {
 
-/// The bytes of a GET request for JSON.
+/// Encodes a GET request that accepts JSON.
 std::string get(std::string_view target, std::string_view host);
 
-/// An incremental parser of one response: the head, then a body that is chunked, has a length, or runs to the
+/// An incremental parser of one response. The body may be chunked, have a Content-Length, or extend to the
 /// end of the connection. Interim (1xx) responses are skipped. The bytes may be split anywhere.
 class Response {
  public:
-  /// Parses the next bytes and appends what they hold of the body to `body`. False: the bytes are not a
-  /// response that is supported; the parser must not be used any further.
+  /// Parses the next bytes and appends the part of the body in them to `body`. Returns false if the bytes are
+  /// not a supported response; the parser must not be used after that.
   bool feed(std::string_view bytes, std::string& body);
-  /// 0 before the head has arrived.
+  /// Returns the status code, or 0 before the status line has been parsed.
   int status() const { return status_; }
-  /// A final response with another status than 200.
+  /// Returns whether the response is final (not 1xx) and its status is not 200.
   bool refused() const { return status_ >= 200 && status_ != 200; }
-  /// The body is complete. Never so for one that runs to the end of the connection.
+  /// Returns whether the response is complete. Never true for a body that extends to the end of the
+  /// connection.
   bool done() const { return state_ == State::Complete; }
 
  private:
@@ -45,11 +46,11 @@
   std::size_t consumeBody(std::string_view bytes, std::string& body);
 
   State state_ = State::StatusLine;
-  std::string line_;  // the part of the current line that has arrived
+  std::string line_;  // the part of the current line that has been received
   int status_ = 0;
   bool chunked_ = false;
   bool hasLength_ = false;
-  std::size_t remaining_ = 0;  // bytes to come of this chunk or of a body with a length
+  std::size_t remaining_ = 0;  // bytes left of the current chunk, or of a body with a Content-Length
 };
 
 }  // namespace stonebay::http
--- a/src/codec/pg/pg.cpp
+++ b/src/codec/pg/pg.cpp
@@ -4,7 +4,8 @@
 namespace {
 
 constexpr std::size_t kInt32Size = 4;
-constexpr std::size_t kColumnDescriptionTail = 18;  // table, column, type, size, modifier, format
+// Bytes of a column description after its name: table, column, type, size, modifier and format.
+constexpr std::size_t kColumnDescriptionTailSize = 18;
 constexpr std::size_t kSqlStateSize = 5;
 
 void appendInt32(std::string& to, std::uint32_t number) {
@@ -17,8 +18,8 @@
   to.push_back('\0');
 }
 
-// Removes the text up to the next NUL, and the NUL; nothing if there is none.
-std::optional<std::string_view> takeString(std::string_view& from) {
+// Removes a NUL-terminated string from the front and returns it. Returns std::nullopt if there is no NUL.
+std::optional<std::string_view> consumeString(std::string_view& from) {
   const std::size_t end = from.find('\0');
   if (end == std::string_view::npos) return std::nullopt;
   const std::string_view text = from.substr(0, end);
@@ -44,7 +45,7 @@
 }
 
 std::optional<MessageHeader> parseMessageHeader(const char (&bytes)[kMessageHeaderSize]) {
-  const std::uint32_t length = readInt32(bytes + 1);  // counts itself
+  const std::uint32_t length = readInt32(bytes + 1);  // includes the length field itself
   if (length < kInt32Size || length > kMaxMessageSize) return std::nullopt;
   return MessageHeader{bytes[0], length - kInt32Size};
 }
@@ -115,20 +116,20 @@
   while (!body.empty() && body[0] != '\0') {
     const char type = body[0];
     body.remove_prefix(1);
-    const auto value = takeString(body);
+    const auto value = consumeString(body);
     if (!value) return {};
     if (type == 'S') fields.severity = *value;
     if (type == 'C') fields.code = *value;
     if (type == 'M') fields.text = *value;
   }
-  const bool complete = body.size() == 1 && fields.code.size() == kSqlStateSize;
-  return complete ? fields : ErrorFields{};
+  const bool isValid = body.size() == 1 && fields.code.size() == kSqlStateSize;
+  return isValid ? fields : ErrorFields{};
 }
 
 bool isRowDescription(std::string_view body) {
   if (!hasOneColumn(body)) return false;
   body.remove_prefix(2);
-  return takeString(body) && body.size() == kColumnDescriptionTail;
+  return consumeString(body) && body.size() == kColumnDescriptionTailSize;
 }
 
 bool isRowHeader(const char (&bytes)[kRowHeaderSize], std::size_t bodySize) {
@@ -144,8 +145,8 @@
 }
 
 ParameterStatus parseParameterStatus(std::string_view body) {
-  const auto name = takeString(body);
-  const auto value = name ? takeString(body) : std::nullopt;
+  const auto name = consumeString(body);
+  const auto value = name ? consumeString(body) : std::nullopt;
   if (!value || !body.empty()) return {};
   return {*name, *value};
 }
@@ -153,7 +154,7 @@
 std::optional<std::string_view> parseSingleColumn(std::string_view body) {
   if (body.size() < kRowHeaderSize || !hasOneColumn(body)) return std::nullopt;
   const std::uint32_t length = readInt32(body.data() + 2);
-  if (length != body.size() - kRowHeaderSize) return std::nullopt;  // NULL has the length 2^32 - 1
+  if (length != body.size() - kRowHeaderSize) return std::nullopt;  // NULL is encoded as length 2^32 - 1
   return body.substr(kRowHeaderSize);
 }
 
--- a/src/codec/pg/pg.hpp
+++ b/src/codec/pg/pg.hpp
@@ -1,6 +1,6 @@
-// PostgreSQL's frontend/backend protocol, version 3: framing, and the messages that a proxy writes and reads.
-// Pure functions: no sockets, no buffers of their own. Message formats are those of the chapter
-// "Frontend/Backend Protocol" of PostgreSQL's manual.
+// PostgreSQL's frontend/backend protocol, version 3: framing, and the messages that a proxy sends and
+// receives. Pure functions without sockets or buffers. The message formats are specified in the chapter
+// "Frontend/Backend Protocol" of the PostgreSQL manual.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,29 @@
 
 namespace stonebay::pg {
 
-/// Type and length of a message.
+/// Size of the header of a message: its type and length.
 constexpr std::size_t kMessageHeaderSize = 5;
-/// Column count of a DataRow and length of its first column.
+/// Size of the start of a DataRow: its column count and the length of its first column.
 constexpr std::size_t kRowHeaderSize = 6;
-/// A CancelRequest as a whole.
+/// Size of a complete CancelRequest.
 constexpr std::size_t kCancelRequestSize = 16;
 
-/// Bytes of any message: a value of kMaxValueSize in hex, with the statement around it.
+/// Maximum size of a message in bytes; enough for a statement with a value of kMaxValueSize in hexadecimal.
 constexpr std::size_t kMaxMessageSize = std::size_t{160} << 10U;
-/// Bytes of a startup packet.
+/// Maximum size of a startup packet in bytes.
 constexpr std::size_t kMaxStartupSize = 4096;
-/// Bytes of a stored value.
+/// Maximum size of a stored value in bytes.
 constexpr std::size_t kMaxValueSize = std::size_t{64} << 10U;
-/// Bytes of the body of a backend's message other than a DataRow.
+/// Maximum size of the body of a backend message other than DataRow, in bytes.
 constexpr std::size_t kMaxServerMessageSize = 4096;
 
-/// Codes in the place of the version in a startup packet.
+/// Protocol version and request codes in the first field of a startup packet.
 constexpr std::uint32_t kProtocolVersion3 = 196608;
 constexpr std::uint32_t kSslRequest = 80877103;
 constexpr std::uint32_t kGssEncRequest = 80877104;
 constexpr std::uint32_t kCancelRequest = 80877102;
 
-/// Reads four bytes in network order.
+/// Reads a four-byte integer in network byte order.
 std::uint32_t readInt32(const char* bytes);
 
 /// Type and length of a message.
@@ -42,51 +42,53 @@
   std::size_t bodySize;  ///< bytes after the header
 };
 
-/// Nothing if no message that is accepted here has such a length.
+/// Returns std::nullopt if the length is invalid or greater than kMaxMessageSize.
 std::optional<MessageHeader> parseMessageHeader(const char (&bytes)[kMessageHeaderSize]);
 
-/// A complete message of any type.
+/// Encodes a message of any type.
 std::string message(char type, std::string_view body);
-/// StartupMessage.
+/// Encodes a StartupMessage.
 std::string startupMessage(std::string_view user, std::string_view database);
-/// Query.
+/// Encodes a Query.
 std::string query(std::string_view statement);
-/// The header of a Query whose statement has that length, its terminating NUL included.
+/// Encodes the header of a Query. `length` is the size of the statement, including the terminating NUL.
 std::string queryHeader(std::size_t length);
-/// ReadyForQuery, outside a transaction block.
+/// Encodes ReadyForQuery with the status "not in a transaction block".
 std::string readyForQuery();
-/// The answer to a StartupMessage: AuthenticationOk to ReadyForQuery. With the process and the secret its
-/// client may send a CancelRequest.
+/// Encodes the response to a StartupMessage, from AuthenticationOk to ReadyForQuery. The client needs the
+/// process and the secret to send a CancelRequest.
 std::string greeting(std::uint32_t process = 1, std::uint32_t secret = 0);
-/// ErrorResponse; `code` is an SQLSTATE. An empty detail is left out.
+/// Encodes an ErrorResponse. `code` is an SQLSTATE. An empty detail is omitted.
 std::string errorResponse(const char* severity, const char* code, std::string_view text,
                           std::string_view detail = {});
 
-/// Fields of an ErrorResponse; they refer to its body.
+/// Fields of an ErrorResponse. They are views into its body.
 struct ErrorFields {
   std::string_view severity;
   std::string_view code;  ///< SQLSTATE
   std::string_view text;
 };
-/// All fields are empty if the body is malformed.
+/// Returns empty fields if the body is malformed.
 ErrorFields parseErrorResponse(std::string_view body);
 
-/// Whether the body is a RowDescription of one column.
+/// Returns whether the body is a RowDescription with exactly one column.
 bool isRowDescription(std::string_view body);
-/// Whether a DataRow with that header and body size has one column, which is not NULL and not too long.
+/// Returns whether a DataRow with this header and body size has exactly one column, which is not NULL and not
+/// longer than kMaxValueSize.
 bool isRowHeader(const char (&bytes)[kRowHeaderSize], std::size_t bodySize);
-/// Whether the body is that of a CommandComplete; with `oneRow`, of one for a single row.
+/// Returns whether the body is a valid CommandComplete. If `oneRow` is set, its row count must be 1.
 bool isCommandTag(std::string_view body, bool oneRow);
 
-/// The fields of a ParameterStatus; they refer to its body.
+/// Fields of a ParameterStatus. They are views into its body.
 struct ParameterStatus {
   std::string_view name;
   std::string_view value;
 };
-/// Both fields are empty if the body is malformed.
+/// Returns empty fields if the body is malformed.
 ParameterStatus parseParameterStatus(std::string_view body);
 
-/// The only column of a DataRow; nothing if the row is malformed, has other columns or holds NULL.
+/// Returns the only column of a DataRow, or std::nullopt if the row is malformed, has more or fewer columns,
+/// or the column is NULL.
 std::optional<std::string_view> parseSingleColumn(std::string_view body);
 
 }  // namespace stonebay::pg
--- a/src/codec/pg/statement.cpp
+++ b/src/codec/pg/statement.cpp
@@ -6,8 +6,8 @@
 namespace stonebay::pg {
 namespace {
 
-// The endpoint list knows no larger number. The bound keeps a client from filling the memory with groups that
-// do not exist.
+// The largest group number in an endpoint list. Without this limit a client could fill the memory with state
+// for groups that do not exist.
 constexpr std::uint32_t kMaxGroup = 65535;
 
 constexpr std::string_view kCommentStart = "/*";
@@ -20,14 +20,14 @@
   return error == std::errc() && stop == end && !text.empty();
 }
 
-// One name=value of a comment.
+// One name=value pair of a comment.
 struct Field {
   std::string_view name;
   std::string_view value;
   std::size_t valueOffset = 0;  // in the statement
 };
 
-// Maps the names of the wire to the fields of StatementComment.
+// Builds a StatementComment from the fields of a comment.
 class CommentBuilder {
  public:
   void add(const Field& field) {
@@ -64,7 +64,7 @@
   bool hasGroup_ = false;
 };
 
-// Adds the field between two offsets of the text; blanks around it are ignored, as is what has no '='.
+// Adds the field between two offsets of the text. Blanks around it, and text without '=', are ignored.
 void addField(CommentBuilder& builder, std::string_view text, std::size_t begin, std::size_t end) {
   while (begin < end && text[begin] == ' ') ++begin;
   while (end > begin && text[end - 1] == ' ') --end;
--- a/src/codec/pg/statement.hpp
+++ b/src/codec/pg/statement.hpp
@@ -1,4 +1,4 @@
-// The metadata that clients send with a statement: a comment at its end, and the key that it is about.
+// Parses the metadata in a client's statement: the comment at its end, and the key that it reads or writes.
 #pragma once
 
 #include <cstddef>
@@ -7,23 +7,23 @@
 
 namespace stonebay::pg {
 
-/// The comment at the end of a statement, such as "/* id=9b1f,c=basket,d=480,cluster=2 */". Texts refer to
-/// the statement; offsets count from its start.
+/// The comment at the end of a statement, such as "/* id=9b1f,c=basket,d=480,cluster=2 */". Strings are views
+/// into the statement; offsets count from its start.
 struct StatementComment {
   std::string_view requestId;
   std::string_view className;
-  std::uint32_t deadlineMs = 0;     ///< how long the client waits
-  std::size_t deadlineOffset = 0;   ///< of the digits of the deadline
-  std::size_t deadlineLength = 0;   ///< number of these digits; 0: the comment has no deadline
+  std::uint32_t deadlineMs = 0;     ///< how long the client waits for a response
+  std::size_t deadlineOffset = 0;   ///< offset of the digits of the deadline
+  std::size_t deadlineLength = 0;   ///< number of digits of the deadline; 0 if the comment has no deadline
   std::uint32_t group = 0;          ///< replica group
-  std::int64_t sessionTokenMs = 0;  ///< Unix time of the session's last commit; 0: none
-  const char* error = nullptr;      ///< why the comment cannot be used; null: it can
+  std::int64_t sessionTokenMs = 0;  ///< Unix time of the session's last commit; 0 if there is none
+  const char* error = nullptr;      ///< why the comment is invalid; null if it is valid
 };
 
-/// Parses the last comment of a text. Fields that are not known are ignored.
+/// Parses the last comment of a statement. Unknown fields are ignored.
 StatementComment parseStatementComment(std::string_view text);
 
-/// The first text between single quotes; empty if there is none.
+/// Returns the first text between single quotes, or an empty view if there is none.
 std::string_view parseQuotedKey(std::string_view text);
 
 }  // namespace stonebay::pg
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,33 +7,36 @@
 namespace stonebay {
 namespace {
 
-// Of the process itself: code, the event loop, the listener, discovery, standard streams, connections that
-// are about to be closed.
-constexpr std::size_t kOwnDescriptors = 24;
-constexpr std::size_t kOwnMemory = std::size_t{12} << 20U;
-// Of a client without a large statement: what is read ahead, and a response that it has not read yet.
-constexpr std::size_t kMemoryPerClient = std::size_t{96} << 10U;
-constexpr std::size_t kClientPercentage = 45;  // of the descriptors beyond kOwnDescriptors
+// Reserved for the process itself: code, event loop, listener, discovery, standard streams, and connections
+// that are about to be closed.
+constexpr std::size_t kReservedDescriptors = 24;
+constexpr std::size_t kReservedMemoryBytes = std::size_t{12} << 20U;
+// Memory of a client without a large statement: its read-ahead buffer, and a response that it has not read
+// yet.
+constexpr std::size_t kMemoryPerClientBytes = std::size_t{96} << 10U;
+// Share of the descriptors beyond kReservedDescriptors that client connections may use.
+constexpr std::size_t kClientDescriptorPercentage = 45;
 
 std::string summarize(const std::vector<ConfigError>& errors) {
-  if (errors.empty()) return "no fault";
+  if (errors.empty()) return "no errors";
   const std::size_t others = errors.size() - 1;
   return errors.front().text() + (others > 0 ? " (and " + std::to_string(others) + " more)" : "");
 }
 
 }  // namespace
 
-// A client has one request in flight at most, so with fewer clients than server connections every attempt
-// finds a connection. Of the memory beyond the process itself a quarter is for large statements, whoever
-// sends them, a half for what each client may hold at any time, the rest for responses on their way.
+// A client has at most one request in flight, so every attempt gets a connection as long as there are fewer
+// clients than server connections. Of the memory beyond kReservedMemoryBytes, a quarter is for large
+// statements of all clients together, half is for kMemoryPerClientBytes of each client, and the rest is for
+// responses in transit.
 void deriveLimits(Config& config, std::size_t descriptors, std::uint64_t memory) {
-  const std::size_t freeMemory = static_cast<std::size_t>(memory) - kOwnMemory;
-  const std::size_t freeDescriptors = descriptors - kOwnDescriptors;
-  const std::size_t clientDescriptors = freeDescriptors * kClientPercentage / 100;
-  config.maxClientConnections = std::min(clientDescriptors, freeMemory / 2 / kMemoryPerClient);
+  const std::size_t freeMemory = static_cast<std::size_t>(memory) - kReservedMemoryBytes;
+  const std::size_t freeDescriptors = descriptors - kReservedDescriptors;
+  const std::size_t clientDescriptors = freeDescriptors * kClientDescriptorPercentage / 100;
+  config.maxClientConnections = std::min(clientDescriptors, freeMemory / 2 / kMemoryPerClientBytes);
   config.maxServerConnections = freeDescriptors - clientDescriptors;
-  // A client system holds a third of the descriptors at most. Staying below that makes room here before that
-  // system has none left for requests.
+  // A client system opens at most a third as many connections as this proxy has descriptors. With a lower
+  // limit here, the proxy closes idle clients before that system has no connection left for new requests.
   config.maxActiveClients = std::min(config.maxClientConnections, descriptors / 4);
   config.maxLargeStatementBytes = freeMemory / 4;
 }
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -1,4 +1,4 @@
-// The INI form of the configuration, by the schema of settings.
+// Reads the INI format of the configuration, using the schema in settings_schema.hpp.
 #include <algorithm>
 #include <fstream>
 #include <random>
@@ -62,19 +62,21 @@
     if (reader_.errorCount() == errorsBefore) checkClass(section, draft_.requestClass);
   }
 
-  // Keys of a class that contradict each other.
+  // Reports keys of a request class that contradict each other.
   void checkClass(const IniSection& section, const ClassSettings& settings) {
     if (settings.deadline < settings.latencyObjective)
-      reader_.addKeyError(section, "give_up", {"it is shorter than the aim", "make it at least the aim"});
+      reader_.addKeyError(section, "give_up", {"it is shorter than aim", "make it at least as long as aim"});
     if (settings.consistency == Consistency::BoundedStaleness && settings.maxStaleness == Duration(0))
-      reader_.addKeyError(section, "max_age",
-                          {"data = bounded needs it", "say how old data may be, such as max_age = 200ms"});
+      reader_.addKeyError(
+          section, "max_age",
+          {"it is required with data = bounded", "set the maximum age of the data, such as max_age = 200ms"});
     if (settings.idempotency == Idempotency::IdempotencyKey && settings.deduplicationWindow == Duration(0))
-      reader_.addKeyError(section, "repeats_dropped_for",
-                          {"repeats = keyed needs it", "say how long a key is known, such as 2s"});
+      reader_.addKeyError(
+          section, "repeats_dropped_for",
+          {"it is required with repeats = keyed", "set how long a key is remembered, such as 2s"});
     if (settings.consistency == Consistency::Write && settings.idempotency == Idempotency::Idempotent)
       reader_.addKeyError(section, "repeats",
-                          {"a write that is safe to repeat would be sent twice", "write keyed or unsafe"});
+                          {"a write with repeats = safe could be executed twice", "use keyed or unsafe"});
   }
 
   void readGroup(const IniSection& section) {
@@ -82,8 +84,9 @@
     reader_.apply("group", &section, draft_);
     for (const GroupName& other : config_.groups)
       if (other.id == draft_.group.id)
-        reader_.addKeyError(section, "number",
-                            {"[group " + other.name + "] has this number", "give each group one of its own"});
+        reader_.addKeyError(
+            section, "number",
+            {"[group " + other.name + "] already has this number", "give each group its own number"});
     config_.groups.push_back(draft_.group);
   }
 
@@ -101,11 +104,11 @@
       if (!endpoint.address.none() && other.address == endpoint.address)
         reader_.addKeyError(
             section, "address",
-            {"[member " + other.name + "] has this address", "give each member one of its own"});
+            {"[member " + other.name + "] already has this address", "give each member its own address"});
     config_.initialEndpoints.instances.push_back(endpoint);
   }
 
-  // By its name or its number.
+  // Finds a group by its name or its number.
   std::optional<GroupId> findGroup(const std::string& text) const {
     for (const GroupName& group : config_.groups)
       if (group.name == text) return group.id;
@@ -117,25 +120,26 @@
 
   void checkClasses() {
     if (!config_.classes.empty()) return;
-    reader_.addError(
-        0, "", {"there is no [class NAME]", "add one for each class of requests that clients name (c=)"});
+    reader_.addError(0, "",
+                     {"there is no [class NAME]",
+                      "add one for each request class that clients name in their statements (c=)"});
   }
 
   void checkDiscovery() {
     switch (config_.source) {
-      case Source::Registry:
+      case DiscoveryType::Registry:
         if (config_.discovery.none())
-          reader_.addError(
-              lineOfSection("discovery"), "[discovery] registry",
-              {"source = registry needs it", "say where the registry listens, or set source = fixed"});
+          reader_.addError(lineOfSection("discovery"), "[discovery] registry",
+                           {"it is required with source = registry",
+                            "set the address of the registry, or use source = fixed"});
         break;
-      case Source::DnsSd:
+      case DiscoveryType::DnsSd:
         checkDnsSd();
         break;
-      case Source::Fixed:
+      case DiscoveryType::Fixed:
         if (config_.initialEndpoints.instances.empty())
           reader_.addError(lineOfSection("discovery"), "[discovery] source",
-                           {"source = fixed needs a [member NAME]", "add one for each data server"});
+                           {"source = fixed requires a [member NAME]", "add one for each data server"});
         break;
     }
   }
@@ -143,16 +147,18 @@
   void checkDnsSd() {
     DnsSdSettings& settings = config_.dnssd;
     if (settings.domain.empty())
-      addDnsSdError("domain", {"source = dnssd needs it", "say which, such as domain = ruwi.example.org"});
+      addDnsSdError("domain",
+                    {"it is required with source = dnssd", "set it, such as domain = ruwi.example.org"});
     if (settings.service.empty())
-      addDnsSdError("service", {"it is empty", "write a service such as _postgresql._tcp"});
+      addDnsSdError("service", {"it is empty", "set a service name such as _postgresql._tcp"});
     if (settings.servers.empty())
-      addDnsSdError("name_servers",
-                    {"source = dnssd needs one", "say where name servers listen, such as 10.2.0.1:53"});
+      addDnsSdError("name_servers", {"it is required with source = dnssd",
+                                     "set the addresses of the name servers, such as 10.2.0.1:53"});
     if (settings.maxRefresh < settings.minRefresh)
-      addDnsSdError("refresh_most", {"it is shorter than refresh_least", "make it at least refresh_least"});
+      addDnsSdError("refresh_most",
+                    {"it is shorter than refresh_least", "make it at least as long as refresh_least"});
     if (settings.flapReuse >= settings.flapSuppress)
-      addDnsSdError("flap_reuse", {"it is not below flap_suppress", "make it less than flap_suppress"});
+      addDnsSdError("flap_reuse", {"it is not less than flap_suppress", "make it less than flap_suppress"});
     if (settings.defaultGroupName.empty()) return;
     settings.defaultGroup = findGroup(settings.defaultGroupName);
     if (!settings.defaultGroup) addDnsSdError("group", unknownGroup(settings.defaultGroupName));
@@ -176,13 +182,14 @@
     return 0;
   }
 
-  // What follows from the keys. For files without errors.
+  // Sets the fields that follow from other settings. To be called only if the file has no errors.
   void deriveSettings() {
     Settings& settings = config_.settings;
     settings.cancellationAllowed = true;
     settings.timeStep = kTimeStep;
-    settings.discovery = config_.source == Source::Registry ? DiscoveryMode::Poll : DiscoveryMode::Push;
-    if (config_.source != Source::Registry) settings.maxPollInterval = Duration(0);
+    settings.discovery =
+        config_.source == DiscoveryType::Registry ? DiscoveryMode::Poll : DiscoveryMode::Push;
+    if (config_.source != DiscoveryType::Registry) settings.maxPollInterval = Duration(0);
     if (settings.reports == LoadReports::None) {
       settings.reportFields.clear();
       config_.reportNames.clear();
@@ -217,7 +224,7 @@
   std::stringstream text;
   text << file.rdbuf();
   if (!file || !text)
-    throw InvalidSettings({{path, 0, "", "it cannot be read", "see that it exists and may be read"}});
+    throw InvalidSettings({{path, 0, "", "it cannot be read", "check that it exists and is readable"}});
   return parseSettings(text.str(), path);
 }
 
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -1,4 +1,4 @@
-// The platform's JSON form of the configuration.
+// Reads the platform's JSON format of the configuration.
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
@@ -23,8 +23,8 @@
 constexpr std::int64_t kMinIdleTimeoutUs = 1000000;
 constexpr std::int64_t kMaxIdleTimeoutUs = 2000000000;
 
-// A string as the simulator's settings carry it: without the characters that separate items and lines.
-std::string withoutSeparators(std::string_view value) {
+// Replaces the characters that separate items and lines in the simulator's settings by underscores.
+std::string replaceSeparators(std::string_view value) {
   std::string text(value);
   for (char& byte : text)
     if (byte == ' ' || byte == ',' || byte == '\n') byte = '_';
@@ -44,7 +44,7 @@
     case element_type::DOUBLE:
       return formatDouble(double(value));
     case element_type::STRING:
-      return withoutSeparators(std::string_view(value));
+      return replaceSeparators(std::string_view(value));
     case element_type::INT64:
     case element_type::UINT64:
       return simdjson::minify(value);
@@ -53,9 +53,9 @@
   }
 }
 
-// Appends the settings as the simulator's wire carries them, so that one parser serves both: a line
-// path=value for each scalar. An array of scalars is one value, with commas between; an array of objects is a
-// path for each index, and their number at path.count.
+// Appends the settings in the simulator's wire format, so that both are read by the same parser. Each scalar
+// is a line "path=value". An array of scalars is one value, separated by commas. Each object in an array of
+// objects has its index in the path, and the line "path.count" has their number.
 void appendSettings(const element& value, const std::string& path, std::string& lines);
 
 void appendArray(const element& value, const std::string& path, std::string& lines) {
@@ -88,12 +88,12 @@
   }
 }
 
-// An array of strings.
+// Reads an array of strings.
 std::vector<std::string> readStrings(const element& parent, const std::string& path, const char* key) {
   std::vector<std::string> strings;
   for (const element item : jsonField<array>(parent, key, path)) {
     std::string_view text;
-    if (item.get(text)) throw InvalidInput("key " + path + key + ": not all are strings");
+    if (item.get(text)) throw InvalidInput("key " + path + key + ": not all items are strings");
     strings.emplace_back(text);
   }
   return strings;
@@ -112,7 +112,7 @@
   return parseAddress(jsonField<std::string_view>(root, key, ""), key);
 }
 
-// Optional: without both addresses the proxies do not gossip.
+// Gossip is optional: it is disabled unless both addresses are set.
 void readGossip(const element& root, Config& config) {
   std::string_view listen;
   std::string_view broadcast;
@@ -131,7 +131,7 @@
   std::uint64_t seed = 0;
   const auto [stop, error] = std::from_chars(text.data(), end, seed, 16);
   if (error != std::errc() || stop != end)
-    throw InvalidInput("key seed: '" + std::string(text) + "' is no hexadecimal number");
+    throw InvalidInput("key seed: '" + std::string(text) + "' is not a hexadecimal number");
   return seed;
 }
 
@@ -139,8 +139,8 @@
   const std::string path = "limits.";
   const auto limits = jsonField<element>(root, "limits", "");
   const auto descriptors = readInteger(limits, "sockets", path, kMinDescriptors, kMaxDescriptors);
-  const auto megabytes =
-      readInteger(limits, "memory_mb", path, kMinMemory >> kMegabyteShift, kMaxMemory >> kMegabyteShift);
+  const auto megabytes = readInteger(limits, "memory_mb", path, kMinMemoryBytes >> kMegabyteShift,
+                                     kMaxMemoryBytes >> kMegabyteShift);
   deriveLimits(config, static_cast<std::size_t>(descriptors),
                static_cast<std::uint64_t>(megabytes) << kMegabyteShift);
 }
@@ -153,12 +153,12 @@
   } catch (const simulator::InvalidSetting& e) {
     throw InvalidInput(std::string("key settings: ") + e.what());
   }
-  // allowed.retryAfter is about the simulator's clients. Clients on sockets can always be told when to retry.
+  // allowed.retryAfter applies only to the simulator's clients. Clients on sockets always accept Retry-After.
   config.settings.retryAfterAllowed = true;
   config.settings.gossipAllowed = config.settings.gossipAllowed && !config.gossipListen.none();
 }
 
-// Names that the load balancer knows by their index alone.
+// Reads the names of classes, zones and report values, which the load balancer knows only by index.
 void readNames(const element& settings, Config& config) {
   for (const element item : jsonField<array>(settings, "classes", "settings.")) {
     const std::string path = "settings.classes[" + std::to_string(config.classes.size()) + "].";
@@ -183,10 +183,11 @@
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const ClassSettings& requestClass = settings.classes[i];
     if (requestClass.latencyObjective <= Duration(0) || requestClass.deadline < requestClass.latencyObjective)
-      throw InvalidInput("key settings.classes[" + std::to_string(i) + "].promiseUs: 0 or past deadlineUs");
+      throw InvalidInput("key settings.classes[" + std::to_string(i) +
+                         "].promiseUs: must be above 0 and at most deadlineUs");
   }
   if (settings.initialCapacity <= 0 || settings.initialCapacity > 1)
-    throw InvalidInput("key settings.obligations.startCapacity: not above 0 and at most 1");
+    throw InvalidInput("key settings.obligations.startCapacity: must be above 0 and at most 1");
 }
 
 bool hasSessionClass(const Settings& settings) {
--- a/src/config/proxy_keys.cpp
+++ b/src/config/proxy_keys.cpp
@@ -1,10 +1,10 @@
-// The keys of the process itself: its place, its limits, its log.
+// The settings of the process itself: its name and addresses, its limits and its log.
 #include "config/setting_keys.hpp"
 
 namespace stonebay {
 namespace {
 
-constexpr Choice<LogForm> kLogForms[] = {{"logfmt", LogForm::Logfmt}, {"json", LogForm::Json}};
+constexpr Choice<LogFormat> kLogFormats[] = {{"logfmt", LogFormat::Logfmt}, {"json", LogFormat::Json}};
 
 constexpr Choice<LogLevel> kLogLevels[] = {{"debug", LogLevel::Debug},
                                            {"info", LogLevel::Info},
@@ -16,61 +16,62 @@
 std::vector<SettingKey> proxyKeys() {
   return {
       {"name", ValueKind::Text, kRequired, assign(&Config::name),
-       "Its name in the log, the same after a restart."},
+       "The name of this proxy in the log. It should stay the same after a restart."},
       {"listen", ValueKind::Address, kRequired, assign(&Config::listen),
-       "Where clients connect. Port 0 lets the system choose; the log tells which."},
+       "The address on which clients connect. With port 0 the system chooses a port, which is logged."},
       {"proxies",
        {ValueKind::Count, 1, 10000},
        "1",
        assign(&Settings::proxyCount),
-       "How many proxies stand before the same data servers, this one included. Each takes its part of what "
-       "a cold server may be sent, so a number that is too small can fell one."},
+       "The number of proxies in front of the same data servers, including this one. Each sends a cold data "
+       "server only its share of what the server can take, so a number that is too small can overload it."},
       {"zones", ValueKind::Words, "", assign(&Config::zones),
-       "The buildings, with commas between. Data servers name theirs."},
+       "The names of the buildings, separated by commas. Each data server has the name of its building."},
       {"seed", ValueKind::Hex, "random", assign(&Config::seed),
-       "Of its random numbers; hexadecimal, or `random` for a new one at each start. Fix it only to repeat a "
-       "run."},
+       "The seed of the random numbers: a hexadecimal number, or `random` for a new seed at each start. Set "
+       "a number only to reproduce a run."},
   };
 }
 
 std::vector<SettingKey> limitsKeys() {
   return {
       {"memory",
-       {ValueKind::Size, static_cast<double>(kMinMemory), static_cast<double>(kMaxMemory)},
+       {ValueKind::Size, static_cast<double>(kMinMemoryBytes), static_cast<double>(kMaxMemoryBytes)},
        "64MB",
        assign(&SettingsDraft::memory),
-       "Resident memory that the process keeps to."},
+       "The limit on the resident memory of the process."},
       {"descriptors",
        {ValueKind::Count, kMinDescriptors, kMaxDescriptors},
        "1024",
        assign(&SettingsDraft::descriptors),
-       "Descriptors that it may open. 45% go to clients, the rest to data servers, but for 24 of its own. "
-       "Not above `ulimit -n`."},
+       "The number of file descriptors that the process may open, at most `ulimit -n`. It keeps 24 for "
+       "itself; of the others 45% are for clients and the rest for data servers."},
       {"attempts",
        {ValueKind::Count, 1, 255},
        "8",
        assign(&Settings::maxAttempts),
-       "The most attempts for one request, its first included."},
+       "The maximum number of attempts for one request, including the first."},
       {"dial_timeout",
        {ValueKind::TimeSpan, kMillisecond, 60 * kSecond},
        "250ms",
        assign(&Config::connectTimeout),
-       "A connection to a data server that is not up by then has failed; a probe not answered by then too."},
+       "The time limit for connecting to a data server, and for the answer to a probe."},
       {"idle_close",
        {ValueKind::TimeSpan, kSecond, kHour / 2},
        "15s",
        assign(&Config::idleTimeout),
-       "Data servers close what stands idle for so long. The proxy retires its connections at 0.7 of it; "
-       "with a figure that is too high, requests run into connections that have just been closed."},
+       "The time after which data servers close an idle connection. The proxy closes its idle connections "
+       "after 0.7 of this time; if the value is too high, requests are sent on connections that have just "
+       "been closed."},
   };
 }
 
 std::vector<SettingKey> logKeys() {
   return {
-      {"form", oneOf(kLogForms), "logfmt", assign(&Config::logForm, kLogForms),
-       "A line an event, as `name=value` pairs or as a JSON object."},
+      {"form", oneOf(kLogFormats), "logfmt", assign(&Config::logFormat, kLogFormats),
+       "The format of the log: one line per event, as `name=value` pairs or as a JSON object."},
       {"level", oneOf(kLogLevels), "info", assign(&Config::logLevel, kLogLevels),
-       "The least level that is written."},
+       "The lowest level that is logged."},
   };
 }
 
--- a/src/config/schema_reader.cpp
+++ b/src/config/schema_reader.cpp
@@ -66,8 +66,9 @@
     checkTitle(section);
     const auto [earlier, isNew] = lineOfTitle.emplace(section.title(), section.line);
     if (isNew) continue;
-    addError(section.line, section.title(),
-             {"it stands on line " + std::to_string(earlier->second) + " already", "put its keys there"});
+    addError(
+        section.line, section.title(),
+        {"the section already begins on line " + std::to_string(earlier->second), "move its keys there"});
   }
 }
 
@@ -104,14 +105,14 @@
     key.set(draft, std::get<SettingValue>(value));
 }
 
-// The first entry of that key; reports the others.
+// Returns the first entry with that key, or null if there is none. Reports every further one as an error.
 const IniEntry* SchemaReader::findEntry(const IniSection& section, const std::string& key) {
   const IniEntry* found = nullptr;
   for (const IniEntry& entry : section.entries) {
     if (entry.key != key) continue;
     if (found)
       addError(entry.line, section.title() + " " + key,
-               {"it stands on line " + std::to_string(found->line) + " already", "keep one of the two"});
+               {"it is already set on line " + std::to_string(found->line), "keep one of the two"});
     else
       found = &entry;
   }
--- a/src/config/schema_reader.hpp
+++ b/src/config/schema_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the sections of an INI file by the schema of settings and collects the errors of the file.
+// Reads the sections of an INI file as the settings schema describes them, and collects all errors.
 #pragma once
 
 #include <cstddef>
@@ -10,27 +10,27 @@
 
 namespace stonebay {
 
-/// Checks section titles and key names, applies values and defaults. Goes on after an error, so that one run
-/// reports all of them.
+/// Checks section titles and key names, and applies values and defaults. Continues after an error, so that
+/// one run reports all errors.
 class SchemaReader {
  public:
-  /// `path` is the file's name for error messages.
+  /// `path` is the file name for error messages.
   SchemaReader(IniFile file, std::string path);
 
   const std::vector<IniSection>& sections() const { return file_.sections; }
 
-  /// Reports titles that are unknown, incomplete or repeated.
+  /// Reports section titles that are unknown, lack a name, have a superfluous name or are repeated.
   void checkTitles();
-  /// Sets every key of a section type, by its value in the section or by its default. Null: the file lacks
-  /// the section.
+  /// Sets every key of a section type from its value in the section, or from its default. `section` is null
+  /// if the file does not have the section.
   void apply(const std::string& type, const IniSection* section, SettingsDraft& draft);
 
-  /// Adds an error. `line` 0: the file as a whole; `where`: see ConfigError.
+  /// Adds an error; see ConfigError for `line` and `where`.
   void addError(int line, std::string where, ValueError error);
-  /// Adds an error in the value of a key, or for lack of the key.
+  /// Adds an error about a key: an invalid value, or a key that is missing.
   void addKeyError(const IniSection& section, const std::string& key, ValueError error);
   std::size_t errorCount() const { return errors_.size(); }
-  /// Throws InvalidSettings with all errors in the order of the lines, if there are any.
+  /// Throws InvalidSettings with all errors, sorted by line, if there are any.
   void throwErrors();
 
  private:
@@ -45,7 +45,7 @@
   std::vector<ConfigError> errors_;
 };
 
-/// The line of a key, or of the section's header where the key is absent.
+/// Returns the line of a key, or the line of the section header if the section does not have the key.
 int lineOf(const IniSection& section, const std::string& key);
 
 }  // namespace stonebay
--- a/src/config/setting_keys.hpp
+++ b/src/config/setting_keys.hpp
@@ -1,5 +1,5 @@
-// The keys of each section of the settings, and what their tables are made with. For settings_schema.cpp and
-// the files *_keys.cpp.
+// The keys of each settings section, and helpers for the tables that define them. Only for
+// settings_schema.cpp and the *_keys.cpp files.
 #pragma once
 
 #include <algorithm>
@@ -26,21 +26,22 @@
 std::vector<SettingKey> groupKeys();
 std::vector<SettingKey> memberKeys();
 
-/// SettingKey::defaultText of a key that has no default.
+/// SettingKey::defaultText of a required key, which has no default.
 constexpr const char* kRequired = nullptr;
 
-constexpr double kMillisecond = 1e3;  ///< bounds of durations count microseconds
+/// Units for the bounds of durations, in microseconds.
+constexpr double kMillisecond = 1e3;
 constexpr double kSecond = 1e6;
 constexpr double kHour = 3600e6;
 
-/// A word of the settings and what it stands for.
+/// One of the words that a setting accepts, and the value it selects.
 template <typename T>
 struct Choice {
   const char* word;
   T value;
 };
 
-/// The object of a type that keys of that type set.
+/// Returns the object of the given type that the setters of keys write to.
 inline SettingsDraft& target(SettingsDraft& draft, const SettingsDraft* /*type*/) { return draft; }
 inline Config& target(SettingsDraft& draft, const Config* /*type*/) { return draft.config; }
 inline Settings& target(SettingsDraft& draft, const Settings* /*type*/) { return draft.config.settings; }
@@ -53,7 +54,8 @@
 inline GroupName& target(SettingsDraft& draft, const GroupName* /*type*/) { return draft.group; }
 inline Instance& target(SettingsDraft& draft, const Instance* /*type*/) { return draft.endpoint; }
 
-/// A setter that stores the value in a field. 32-bit integers are stored from ValueKind::Count.
+/// Returns a setter that stores the parsed value in a field. Fields of type int and GroupId take their value
+/// from ValueKind::Count, which is parsed as a 64-bit integer.
 template <typename Object, typename Field>
 auto assign(Field Object::*field) {
   constexpr bool kNarrows = std::is_same_v<Field, int> || std::is_same_v<Field, GroupId>;
@@ -63,7 +65,7 @@
   };
 }
 
-/// A setter that stores what the chosen word stands for.
+/// Returns a setter that stores the value which the chosen word selects.
 template <typename Object, typename Field, std::size_t N>
 auto assign(Field Object::*field, const Choice<Field> (&choices)[N]) {
   return [field, &choices](SettingsDraft& draft, const SettingValue& value) {
@@ -74,7 +76,7 @@
   };
 }
 
-/// The format of a key whose values are the words of a table.
+/// Returns the format of a key that accepts one of the words in a table.
 template <typename T, std::size_t N>
 ValueFormat oneOf(const Choice<T> (&choices)[N]) {
   ValueFormat format(ValueKind::Choice);
--- a/src/config/setting_values.cpp
+++ b/src/config/setting_values.cpp
@@ -1,4 +1,4 @@
-// Parsing and formatting of the values of settings, by kind.
+// Parses and formats the values of settings, by kind.
 #include <algorithm>
 #include <charconv>
 #include <sstream>
@@ -10,7 +10,7 @@
 
 using Result = ParseResult<SettingValue>;
 
-// RFC 1035, section 2.3.4, without the trailing dot.
+// Limits of RFC 1035 section 2.3.4, for a name without the trailing dot.
 constexpr std::size_t kMaxDomainLength = 253;
 constexpr std::size_t kMaxLabelLength = 63;
 
@@ -21,11 +21,11 @@
 
 ParseResult<Address> parseOneAddress(const std::string& text) {
   if (const auto address = Address::parse(text)) return *address;
-  return ValueError{"'" + text + "' is no address with a port",
-                    "write it as 10.1.0.18:5432 or [fd00::18]:5432; names are not looked up here"};
+  return ValueError{"'" + text + "' is not an address with a port",
+                    "write it as 10.1.0.18:5432 or [fd00::18]:5432; host names are not resolved"};
 }
 
-// The items between commas, without the blanks around them; empty ones are left out.
+// Splits a comma-separated list. Blanks around items are removed, and empty items are skipped.
 std::vector<std::string> splitAtCommas(const std::string& text) {
   std::vector<std::string> items;
   std::istringstream input(text);
@@ -38,7 +38,7 @@
   return items;
 }
 
-// A value of a type that is an alternative of SettingValue.
+// Converts a result whose type T is one of the alternatives of SettingValue.
 template <typename T>
 Result toSettingValue(const ParseResult<T>& result) {
   if (const auto* const error = std::get_if<ValueError>(&result)) return *error;
@@ -75,8 +75,8 @@
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, number, 16);
   if (error == std::errc() && stop == end) return SettingValue(number);
-  return ValueError{"'" + text + "' is no hexadecimal number",
-                    "write up to 16 of 0 to 9 and a to f, or random"};
+  return ValueError{"'" + text + "' is not a hexadecimal number",
+                    "write up to 16 hexadecimal digits (0 to 9, a to f), or random"};
 }
 
 Result parseChoice(const SettingKey& key, const std::string& text) {
@@ -85,11 +85,11 @@
   std::string list;
   for (const std::string& choice : choices) list += (list.empty() ? "" : ", ") + choice;
   const std::string closest = closestMatch(text, choices);
-  return ValueError{"'" + text + "' is none of " + list,
+  return ValueError{"'" + text + "' is not one of " + list,
                     closest.empty() ? "write one of them" : "did you mean '" + closest + "'?"};
 }
 
-// Not std::isalnum, which follows the locale.
+// std::isalnum depends on the locale, so it is not used here.
 bool isLabelCharacter(char byte) {
   const bool letter = (byte >= 'a' && byte <= 'z') || (byte >= 'A' && byte <= 'Z');
   const bool digit = byte >= '0' && byte <= '9';
@@ -113,13 +113,13 @@
 
 Result parseDomain(const SettingKey& /*key*/, const std::string& text) {
   if (isDomainName(text)) return SettingValue(text);
-  return ValueError{"'" + text + "' is no domain name",
-                    "write labels of letters, digits, - and _ with dots between, such as ruwi.example.org"};
+  return ValueError{"'" + text + "' is not a domain name",
+                    "write labels of letters, digits, - and _ separated by dots, such as ruwi.example.org"};
 }
 
 struct KindInfo {
   ValueKind kind;
-  const char* name;  // on the operators' page
+  const char* name;  // as shown on the operators' page
   Result (*parse)(const SettingKey&, const std::string&);
 };
 
@@ -144,7 +144,8 @@
                        [&](const KindInfo& info) { return info.kind == kind; });
 }
 
-// A value as its bounds count it; a visitor of SettingValue. Kinds without bounds give 0.
+// Visitor of SettingValue that converts a value to the number that is compared with its bounds. Returns 0 for
+// kinds without bounds.
 struct Magnitude {
   double operator()(Duration duration) const { return static_cast<double>(duration.count()); }
   double operator()(std::uint64_t number) const { return static_cast<double>(number); }
--- a/src/config/settings_page.cpp
+++ b/src/config/settings_page.cpp
@@ -1,4 +1,4 @@
-// The operators' page of settings, docs/operators/settings.md, as `stonebay check --keys` prints it.
+// Prints the operators' page of settings: `stonebay check --keys` and docs/operators/settings.md.
 #include <sstream>
 
 #include "config/settings_schema.hpp"
@@ -7,7 +7,7 @@
 namespace {
 
 std::string formatDefault(const SettingKey& key) {
-  if (key.defaultText == nullptr) return "must be given";
+  if (key.defaultText == nullptr) return "required";
   const std::string text = key.defaultText;
   return text.empty() ? "none" : "`" + text + "`";
 }
--- a/src/config/settings_schema.cpp
+++ b/src/config/settings_schema.cpp
@@ -6,26 +6,32 @@
 
 const std::vector<SettingsSection>& settingsSections() {
   static const std::vector<SettingsSection> sections{
-      {"proxy", false, "This proxy: its name, where it listens, who stands beside it.", proxyKeys()},
+      {"proxy", false, "This proxy: its name, its address, and how many proxies share the data servers.",
+       proxyKeys()},
       {"limits", false,
-       "What the process may hold. The bounds on clients, on connections to data servers and on long "
-       "statements follow from it.",
+       "The resource limits of the process. The limits on clients, on connections to data servers and on "
+       "long statements are derived from them.",
        limitsKeys()},
-      {"log", false, "The log, on standard error.", logKeys()},
+      {"log", false, "The log, which is written to standard error.", logKeys()},
       {"discovery", false, "Where the list of data servers comes from.", discoveryKeys()},
       {"dnssd", false,
-       "With `source = dnssd`: which service records, asked of whom and how often. SIGHUP takes new values "
-       "while serving.",
+       "With `source = dnssd`: which service records are queried, from which name servers and how often. New "
+       "values take effect on SIGHUP, without a restart.",
        dnssdKeys()},
-      {"data_servers", false, "What the data servers of this installation do and allow.", dataServersKeys()},
-      {"clients", false, "What the clients of this installation understand.", clientsKeys()},
-      {"rules", false, "The figures of the rules that the proxy keeps.", rulesKeys()},
-      {"goal", false, "What counts when not all can be served.", goalKeys()},
-      {"class", true, "A class of requests, by the name that statements carry (`c=`). At least one.",
+      {"data_servers", false, "What the data servers of this installation support and allow.",
+       dataServersKeys()},
+      {"clients", false, "What the clients of this installation support.", clientsKeys()},
+      {"rules", false, "The parameters of the rules that the proxy follows.", rulesKeys()},
+      {"goal", false, "How the proxy sets priorities when it cannot serve all requests.", goalKeys()},
+      {"class", true,
+       "A request class. NAME is the class name that statements carry (`c=`). At least one is required.",
        classKeys()},
-      {"group", true, "A name for a group: a primary and its replicas.", groupKeys()},
+      {"group", true,
+       "A replica group, which is a primary and its replicas. NAME is the name of the group in this file.",
+       groupKeys()},
       {"member", true,
-       "A data server that is known at the start, by its instance name. With `source = fixed` these are all.",
+       "A data server that is known at startup. NAME is its instance name. With `source = fixed` there are "
+       "no others.",
        memberKeys()},
   };
   return sections;
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -26,8 +26,8 @@
   });
 }
 
-// Both formats use JSON's escapes. Bytes beyond ASCII come from anywhere and need not be UTF-8, so they are
-// written as the code points of Latin-1: the line stays valid whatever it quotes.
+// Both formats use JSON escapes. Bytes outside ASCII may come from untrusted input and need not be valid
+// UTF-8, so each is escaped as a Latin-1 code point. The line is thus valid whatever it quotes.
 void appendEscaped(Line& line, char character) {
   const auto byte = static_cast<unsigned char>(character);
   if (character == '"' || character == '\\') {
@@ -44,14 +44,14 @@
 
 void appendQuoted(Line& line, std::string_view text) {
   line.push_back('"');
-  for (const char character : text.substr(0, kMaxLoggedValue)) appendEscaped(line, character);
-  if (text.size() > kMaxLoggedValue) fmt::format_to(std::back_inserter(line), "...");
+  for (const char character : text.substr(0, kMaxLoggedValueBytes)) appendEscaped(line, character);
+  if (text.size() > kMaxLoggedValueBytes) fmt::format_to(std::back_inserter(line), "...");
   line.push_back('"');
 }
 
-// Writes a field's value; a visitor of LogField::value.
+// Visitor of LogField::value that writes the value.
 struct ValueWriter {
-  LogForm form;
+  LogFormat format;
   Line& line;
 
   void operator()(std::int64_t number) const { fmt::format_to(std::back_inserter(line), "{}", number); }
@@ -60,22 +60,22 @@
     if (std::isfinite(number))
       fmt::format_to(std::back_inserter(line), "{:.6g}", number);
     else
-      appendQuoted(line, fmt::format("{}", number));  // JSON has no such number
+      appendQuoted(line, fmt::format("{}", number));  // JSON cannot represent infinity and NaN as numbers
   }
   void operator()(std::string_view text) const {
-    if (form == LogForm::Logfmt && text.size() <= kMaxLoggedValue && needsNoQuotes(text))
+    if (format == LogFormat::Logfmt && text.size() <= kMaxLoggedValueBytes && needsNoQuotes(text))
       line.append(text.data(), text.data() + text.size());
     else
       appendQuoted(line, text);
   }
 };
 
-void appendEvent(Line& line, LogForm form, std::string_view event, Fields fields) {
-  const bool json = form == LogForm::Json;
+void appendEvent(Line& line, LogFormat format, std::string_view event, Fields fields) {
+  const bool json = format == LogFormat::Json;
   fmt::format_to(std::back_inserter(line), json ? R"("event":"{}")" : "event={}", event);
   for (const LogField& field : fields) {
     fmt::format_to(std::back_inserter(line), json ? R"(,"{}":)" : " {}=", field.name);
-    std::visit(ValueWriter{form, line}, field.value);
+    std::visit(ValueWriter{format, line}, field.value);
   }
 }
 
@@ -93,13 +93,13 @@
   return spdlog::level::err;
 }
 
-// A token bucket: a burst of lines, then a steady rate.
+// A token bucket that allows a burst of lines and then a constant rate.
 class RateLimiter {
  public:
   bool allow() {
     const Clock::time_point now = Clock::now();
     const double elapsedSeconds = std::chrono::duration<double>(now - refilledAt_).count();
-    tokens_ = std::min(kBurst, tokens_ + kLinesPerSecond * elapsedSeconds);
+    tokens_ = std::min(kBurstLines, tokens_ + kLinesPerSecond * elapsedSeconds);
     refilledAt_ = now;
     if (tokens_ < 1) return false;
     tokens_ -= 1;
@@ -108,10 +108,10 @@
 
  private:
   using Clock = std::chrono::steady_clock;
-  static constexpr double kBurst = 50;
+  static constexpr double kBurstLines = 50;
   static constexpr double kLinesPerSecond = 10;
 
-  double tokens_ = kBurst;
+  double tokens_ = kBurstLines;
   Clock::time_point refilledAt_ = Clock::now();
 };
 
@@ -119,19 +119,19 @@
  public:
   Logger() : logger_("stonebay", std::make_shared<spdlog::sinks::stderr_sink_st>()) {
     logger_.flush_on(spdlog::level::trace);
-    configure(LogForm::Logfmt, LogLevel::Info);
+    configure(LogFormat::Logfmt, LogLevel::Info);
   }
 
-  void configure(LogForm form, LogLevel minLevel) {
-    form_ = form;
+  void configure(LogFormat format, LogLevel minLevel) {
+    format_ = format;
     logger_.set_level(toSpdlog(minLevel));
-    logger_.set_pattern(form == LogForm::Json ? kJsonPattern : kLogfmtPattern,
+    logger_.set_pattern(format == LogFormat::Json ? kJsonPattern : kLogfmtPattern,
                         spdlog::pattern_time_type::utc);
   }
 
   void log(LogLevel level, std::string_view event, Fields fields) {
     if (!logger_.should_log(toSpdlog(level))) return;
-    EventBudget& budget = budgetOf(event);
+    EventBudget& budget = findOrAddBudget(event);
     if (!budget.rateLimiter.allow()) {
       ++budget.droppedLines;
       return;
@@ -144,13 +144,13 @@
   }
 
  private:
-  // Of one kind of event: frequent events must not crowd out the others.
+  // The budget of one event name. Each has its own, so that frequent events do not suppress others.
   struct EventBudget {
     RateLimiter rateLimiter;
     std::int64_t droppedLines = 0;
   };
 
-  EventBudget& budgetOf(std::string_view event) {
+  EventBudget& findOrAddBudget(std::string_view event) {
     const auto it = budgets_.find(event);
     if (it != budgets_.end()) return it->second;
     return budgets_.emplace(std::string(event), EventBudget()).first->second;
@@ -158,13 +158,13 @@
 
   void write(LogLevel level, std::string_view event, Fields fields) {
     Line line;
-    appendEvent(line, form_, event, fields);
+    appendEvent(line, format_, event, fields);
     logger_.log(toSpdlog(level), spdlog::string_view_t(line.data(), line.size()));
   }
 
   spdlog::logger logger_;
-  LogForm form_ = LogForm::Logfmt;
-  std::map<std::string, EventBudget, std::less<>> budgets_;  // by the event's name
+  LogFormat format_ = LogFormat::Logfmt;
+  std::map<std::string, EventBudget, std::less<>> budgets_;  // by event name
 };
 
 Logger& processLogger() {
@@ -174,15 +174,15 @@
 
 }  // namespace
 
-void setLog(LogForm form, LogLevel minLevel) { processLogger().configure(form, minLevel); }
+void configureLog(LogFormat format, LogLevel minLevel) { processLogger().configure(format, minLevel); }
 
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
   processLogger().log(level, event, fields);
 }
 
-std::string formatEvent(LogForm form, std::string_view event, std::initializer_list<LogField> fields) {
+std::string formatEvent(LogFormat format, std::string_view event, std::initializer_list<LogField> fields) {
   Line line;
-  appendEvent(line, form, event, fields);
+  appendEvent(line, format, event, fields);
   return fmt::to_string(line);
 }
 
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,9 +1,10 @@
-// The log of the process, on spdlog: one function, one line for each event, on standard error, rate-limited.
+// The log of the process, based on spdlog. Each event is one line on standard error. The log is rate-limited.
 //
-// An event has a name (lower case, words joined by _, its subject in front: "watch_ended") and fields. A
-// value may hold anything, bytes from the network included: what would break the line or its format is
-// escaped, and what is longer than kMaxLoggedValue is truncated. Secrets are never fields. Not thread-safe:
-// only the thread of the event loop logs, other threads hand their events to it.
+// An event has a name and fields. The name is in lower case with words joined by "_", and begins with the
+// subject, as in "watch_ended". Values may contain arbitrary bytes, such as input from the network:
+// characters that would break the line or its format are escaped, and text longer than kMaxLoggedValueBytes
+// is truncated. Never log secrets. Not thread-safe: only the event loop thread logs, and other threads pass
+// their events to it.
 #pragma once
 
 #include <cstddef>
@@ -16,11 +17,11 @@
 
 namespace stonebay {
 
-enum class LogForm { Logfmt, Json };
+enum class LogFormat { Logfmt, Json };
 enum class LogLevel { Debug, Info, Warning, Error };
 
-/// A named value of a log event. Refers to its text, so it must not outlive the call that it is made for.
-/// The constructors convert implicitly, so that fields can be written as {"name", value}.
+/// A named value of a log event. It refers to text that it does not own, so it must not outlive the log call.
+/// The constructors are implicit, so that fields can be written as {"name", value}.
 struct LogField {
   template <typename T, std::enable_if_t<std::is_integral_v<T> && !std::is_same_v<T, bool>, int> = 0>
   LogField(std::string_view field, T number) : name(field), value(static_cast<std::int64_t>(number)) {}
@@ -34,20 +35,20 @@
   std::variant<std::int64_t, double, bool, std::string_view> value;
 };
 
-/// Bytes of a text value that are written at most.
-constexpr std::size_t kMaxLoggedValue = 400;
+/// Maximum number of bytes of a text value that are logged.
+constexpr std::size_t kMaxLoggedValueBytes = 400;
 
-/// Sets the format and the lowest level that is written; until the first call these are logfmt and Info. May
-/// be called again.
-void setLog(LogForm form, LogLevel minLevel);
+/// Sets the format and the lowest level that is logged. The defaults are logfmt and Info. May be called
+/// again.
+void configureLog(LogFormat format, LogLevel minLevel);
 
-/// Writes one line. So that a fault that affects every request cannot flood the log, lines of one event
-/// beyond a burst of 50 and a rate of 10 per second are dropped; their count is logged ("lines_left_out")
-/// before the event's next line. Events have separate budgets: a list of thousands of members hides no
-/// request's end.
+/// Logs an event as one line. The lines of each event name are limited to a burst of 50 and a rate of 10 per
+/// second, so that a failure that affects every request cannot flood the log. Lines beyond the limit are
+/// dropped, and their number is logged ("lines_left_out") before the next line of that event. Each event name
+/// has its own limit: for example, thousands of events about members do not suppress those about requests.
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 
-/// The line without time and level, as it is written in the given format; for tests and tools.
-std::string formatEvent(LogForm form, std::string_view event, std::initializer_list<LogField> fields);
+/// Returns the line that logEvent writes in the given format, without time and level. For tests and tools.
+std::string formatEvent(LogFormat format, std::string_view event, std::initializer_list<LogField> fields);
 
 }  // namespace stonebay
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,12 +1,12 @@
-// The entry point of stonebay; src/app does the rest.
+// The entry point of stonebay. Everything else is in src/app.
 #include <csignal>
 
 #include "app/cli.hpp"
 
 int main(int argc, char** argv) {
-  // A lost connection is reported by the call that writes to it.
+  // A write to a closed connection must return an error instead of ending the process.
   std::signal(SIGPIPE, SIG_IGN);
-  // The default action would end the process if SIGHUP came before the event loop handles it.
+  // The default action would end the process if SIGHUP arrived before the event loop handles signals.
   std::signal(SIGHUP, SIG_IGN);
-  return stonebay::commandLine(argc, argv);
+  return stonebay::runCommandLine(argc, argv);
 }
--- a/src/util/clock.hpp
+++ b/src/util/clock.hpp
@@ -5,11 +5,11 @@
 
 namespace stonebay {
 
-/// Wall time that never goes back: the system clock is read once, at construction, and advanced by the
-/// monotonic clock from then on.
+/// Wall time that never goes backwards. The system clock is read once, at construction; from then on the time
+/// advances with the monotonic clock.
 class Clock {
  public:
-  /// Microseconds since 1970.
+  /// Microseconds since the Unix epoch.
   using Time = std::chrono::microseconds;
 
   Clock()
@@ -25,7 +25,7 @@
   std::chrono::steady_clock::time_point start_;
 };
 
-/// An instant of Clock, or an interval, in microseconds.
+/// A time of Clock, or an interval, in microseconds.
 using Time = Clock::Time;
 
 }  // namespace stonebay
--- a/src/util/config_error.hpp
+++ b/src/util/config_error.hpp
@@ -1,19 +1,19 @@
-// An error in a configuration file, as it is reported to the person who has to correct the file.
+// An error in a configuration file, as reported to the operator.
 #pragma once
 
 #include <string>
 
 namespace stonebay {
 
-/// One error in a configuration file: where it is, what is wrong and how to correct it.
+/// An error in a configuration file: its location, the problem and the correction.
 struct ConfigError {
-  std::string file;     ///< path as it was given
-  int line = 0;         ///< counted from 1; 0: the file as a whole
-  std::string where;    ///< "[section] key"; empty: the line as a whole
+  std::string file;     ///< path as given by the user
+  int line = 0;         ///< counted from 1; 0 if the error is about the whole file
+  std::string where;    ///< "[section] key" or "[section]"; empty if the error is about the whole line
   std::string problem;  ///< what is wrong
   std::string fix;      ///< what to write instead; may be empty
 
-  /// One line: "FILE:LINE: [section] key: problem; fix", without the parts that are empty.
+  /// Returns the error as one line: "FILE:LINE: [section] key: problem; fix". Empty parts are omitted.
   std::string text() const {
     std::string message = file;
     if (line > 0) message += ":" + std::to_string(line);
--- a/src/util/event.hpp
+++ b/src/util/event.hpp
@@ -1,5 +1,5 @@
-// Owning pointers for libevent's objects, and a few helpers. An owner frees its object when it is destroyed,
-// after which no callback of that object runs.
+// Owning pointers for libevent objects, and helpers. The destructor of a pointer frees its object; after
+// that, no callback of the object runs.
 #pragma once
 
 #include <event2/buffer.h>
@@ -13,7 +13,7 @@
 
 namespace stonebay {
 
-/// Frees any of libevent's objects by the function that belongs to its type.
+/// Frees a libevent object with the function for its type.
 struct LibeventDeleter {
   void operator()(event_base* base) const { event_base_free(base); }
   void operator()(event* handler) const { event_free(handler); }
@@ -30,10 +30,12 @@
 
 inline Buffer newBuffer() { return Buffer(evbuffer_new()); }
 
-/// Copies the bytes to the end of the buffer.
-inline void append(evbuffer* to, std::string_view bytes) { evbuffer_add(to, bytes.data(), bytes.size()); }
+/// Appends a copy of the bytes to the buffer.
+inline void append(evbuffer* buffer, std::string_view bytes) {
+  evbuffer_add(buffer, bytes.data(), bytes.size());
+}
 
-/// The same interval as libevent's functions take it; a negative one is 0.
+/// Converts an interval to the type that libevent uses. Negative intervals are converted to 0.
 inline timeval toTimeval(std::chrono::microseconds interval) {
   constexpr std::chrono::microseconds::rep kMicrosecondsPerSecond = 1000000;
   const auto us = interval.count() > 0 ? interval.count() : 0;
@@ -41,10 +43,10 @@
           static_cast<suseconds_t>(us % kMicrosecondsPerSecond)};
 }
 
-/// Starts a timer, or starts it anew. One that is already due fires in the next pass of the event loop.
-inline void startTimer(event* timer, std::chrono::microseconds in) {
-  const timeval delay = toTimeval(in);
-  event_add(timer, &delay);
+/// Starts or restarts a timer. With a delay of 0 or less it fires in the next pass of the event loop.
+inline void startTimer(event* timer, std::chrono::microseconds delay) {
+  const timeval timeout = toTimeval(delay);
+  event_add(timer, &timeout);
 }
 
 }  // namespace stonebay
--- a/src/util/hash.hpp
+++ b/src/util/hash.hpp
@@ -1,4 +1,4 @@
-// A hash of text that is the same in every process.
+// A string hash that has the same result in every process.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace stonebay {
 
-/// FNV-1a, 64 bits. Not for use against hostile keys.
+/// Returns the 64-bit FNV-1a hash. It does not resist keys that are chosen to collide.
 inline std::uint64_t fnv1a(std::string_view text) {
   constexpr std::uint64_t kOffsetBasis = 0xcbf29ce484222325ULL;
   constexpr std::uint64_t kPrime = 0x100000001b3ULL;
--- a/src/util/ini.cpp
+++ b/src/util/ini.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr std::string_view kBlanks = " \t\r";
-constexpr int kLineEnd = 2;  // the newline and the terminating NUL that inih's buffer has to hold as well
+// The newline and the NUL that follow each line in inih's buffer.
+constexpr int kLineTerminatorBytes = 2;
 
 void removeLeadingBlanks(std::string_view& text) {
   text.remove_prefix(std::min(text.find_first_not_of(kBlanks), text.size()));
@@ -18,24 +19,24 @@
   while (!text.empty() && kBlanks.find(text.back()) != std::string_view::npos) text.remove_suffix(1);
 }
 
-// Feeds a text to inih line by line and collects what inih reports, together with what it does not: section
-// headers and line numbers.
+// Passes a text to inih line by line and collects the entries and errors that inih reports. Section headers
+// and line numbers, which inih does not report, are recorded as the lines are passed on.
 class IniParser {
  public:
   IniParser(std::string_view text, const std::string& path, const std::set<std::string>& rawTypes)
-      : rest_(text), path_(path), rawTypes_(rawTypes) {}
+      : remainingText_(text), path_(path), rawTypes_(rawTypes) {}
 
   IniFile parse() {
     const int result = ini_parse_stream(readLine, this, handleEntry, this);
     if (result > 0)
       file_.errors.push_back({path_, result, "", "neither a [section] nor key = value",
-                              "mend this line, then check again for more like it"});
-    if (result < 0) file_.errors.push_back({path_, 0, "", "there is no memory to read it", ""});
+                              "correct this line, then check again: only the first such line is reported"});
+    if (result < 0) file_.errors.push_back({path_, 0, "", "not enough memory to read it", ""});
     return std::move(file_);
   }
 
  private:
-  // inih's source of lines; the contract is that of fgets.
+  // The reader callback that inih calls for each line; it follows the contract of fgets.
   static char* readLine(char* buffer, int capacity, void* parser) {
     return static_cast<IniParser*>(parser)->nextLine(buffer, capacity);
   }
@@ -46,11 +47,11 @@
   }
 
   char* nextLine(char* buffer, int capacity) {
-    if (rest_.empty()) return nullptr;
+    if (remainingText_.empty()) return nullptr;
     std::string_view text = takeLine();
-    // inih would read an indented line as the continuation of the value before it.
+    // inih would parse an indented line as a continuation of the previous value.
     removeLeadingBlanks(text);
-    if (!isAcceptable(text, capacity - kLineEnd)) text = {};
+    if (!isValidLine(text, capacity - kLineTerminatorBytes)) text = {};
     if (!text.empty() && text[0] == '[') {
       addSection(text);
     } else if (isInRawSection()) {
@@ -65,28 +66,28 @@
 
   std::string_view takeLine() {
     ++line_;
-    const std::size_t end = std::min(rest_.find('\n'), rest_.size());
-    const std::string_view text = rest_.substr(0, end);
-    rest_.remove_prefix(std::min(end + 1, rest_.size()));
+    const std::size_t end = std::min(remainingText_.find('\n'), remainingText_.size());
+    const std::string_view text = remainingText_.substr(0, end);
+    remainingText_.remove_prefix(std::min(end + 1, remainingText_.size()));
     return text;
   }
 
-  bool isAcceptable(std::string_view text, int maxLength) {
+  bool isValidLine(std::string_view text, int maxLength) {
     if (text.find('\0') != std::string_view::npos) {
-      addError("a NUL byte", "this is no text file");
+      addError("the line contains a NUL byte", "use a text file");
       return false;
     }
     if (static_cast<int>(text.size()) > maxLength) {
-      addError("longer than " + std::to_string(maxLength) + " characters", "shorten the line");
+      addError("the line is longer than " + std::to_string(maxLength) + " characters", "shorten the line");
       return false;
     }
     return true;
   }
 
-  // inih reports a section only with its keys, so headers are recorded here.
+  // Records a section header, because inih reports sections only together with their keys.
   void addSection(std::string_view text) {
     const std::size_t end = text.find(']');
-    if (end == std::string_view::npos) return;  // inih reports the line
+    if (end == std::string_view::npos) return;  // inih reports this line as an error
     std::string_view title = text.substr(1, end - 1);
     removeTrailingBlanks(title);
     const std::size_t blank = std::min(title.find_first_of(kBlanks), title.size());
@@ -122,7 +123,7 @@
     file_.errors.push_back({path_, line_, "", std::move(problem), std::move(fix)});
   }
 
-  std::string_view rest_;  // of the text, not read yet
+  std::string_view remainingText_;  // the part of the text that has not been read
   const std::string& path_;
   const std::set<std::string>& rawTypes_;
   int line_ = 0;
--- a/src/util/ini.hpp
+++ b/src/util/ini.hpp
@@ -1,8 +1,9 @@
-// An INI file as sections and entries with their line numbers, parsed by inih. What the values mean is up to
-// the caller.
+// Parses an INI file into sections and entries with their line numbers, using inih. The values are not
+// interpreted.
 //
-// inih reports neither line numbers nor repeated sections. The line source that it reads from records both.
-// Leading blanks mean nothing. A comment begins with ; or # at the start of a line, or with ; after a blank.
+// inih reports neither line numbers nor repeated sections, so both are recorded by the callback that passes
+// it the lines. Blanks at the start of a line are ignored. A comment begins with ; or # at the start of a
+// line, or with ; after a blank.
 #pragma once
 
 #include <set>
@@ -14,7 +15,7 @@
 
 namespace stonebay {
 
-/// One line "key = value".
+/// An entry, which is a line "key = value".
 struct IniEntry {
   std::string key;  ///< empty in raw sections, see parseIni
   std::string value;
@@ -26,21 +27,22 @@
 struct IniSection {
   std::string type;
   std::string name;  ///< may be empty
-  int line = 0;      ///< of the header
+  int line = 0;      ///< line of the header
   std::vector<IniEntry> entries;
 
-  /// The header, in its normal form.
+  /// Returns the header with a single space between type and name.
   std::string title() const { return "[" + type + (name.empty() ? "" : " " + name) + "]"; }
 };
 
-/// A parsed file.
+/// A parsed INI file.
 struct IniFile {
-  std::vector<IniSection> sections;  ///< in the order of the file; a title may be repeated
-  std::vector<ConfigError> errors;   ///< lines that are no INI
+  std::vector<IniSection> sections;  ///< in file order; a section may occur more than once
+  std::vector<ConfigError> errors;   ///< lines with invalid syntax
 };
 
-/// Parses a file's text; `file` is its name for error messages. In sections whose type is in `rawTypes` each
-/// line becomes an entry without a key, whose value is the line without a trailing comment.
+/// Parses the text of an INI file. `file` is the file name for error messages. In sections whose type is in
+/// `rawTypes`, each line becomes an entry with an empty key, whose value is the line without its trailing
+/// comment.
 IniFile parseIni(std::string_view text, const std::string& file, const std::set<std::string>& rawTypes = {});
 
 }  // namespace stonebay
--- a/src/util/transient_error.hpp
+++ b/src/util/transient_error.hpp
@@ -1,4 +1,4 @@
-// Errors of system calls that may be over in a moment.
+// Transient errors of system calls, and retries.
 #pragma once
 
 #include <cerrno>
@@ -7,23 +7,23 @@
 
 namespace stonebay {
 
-/// Whether the same call may soon succeed: descriptors, buffers or memory of the machine are short, or it was
-/// interrupted.
+/// Returns whether a call that failed with this error may soon succeed: file descriptors, buffers or memory
+/// were exhausted, or the call was interrupted.
 inline bool isTransientError(int error) {
   return error == ENFILE || error == EMFILE || error == ENOBUFS || error == ENOMEM || error == EINTR ||
          error == EAGAIN;
 }
 
-/// Calls `open` until it succeeds (its result converts to true), or fails with an error that is not
-/// transient, or has been tried for a second. Blocks meanwhile: for the start of the process alone. Returns
-/// the last result; errno is that of its call.
+/// Calls `open` until it succeeds (its result converts to true), fails with an error that is not transient,
+/// or has been tried for about a second. Returns the last result; errno is that of the last call. Blocks, so
+/// it must only be used while the process starts.
 template <typename Open>
 auto retryWhileTransient(const Open& open) {
-  constexpr std::chrono::milliseconds kPause(20);
+  constexpr std::chrono::milliseconds kRetryInterval(20);
   constexpr int kMaxAttempts = 50;
   auto result = open();
   for (int attempt = 1; !result && isTransientError(errno) && attempt < kMaxAttempts; ++attempt) {
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kRetryInterval);
     result = open();
   }
   return result;
--- a/src/util/units.cpp
+++ b/src/util/units.cpp
@@ -8,7 +8,7 @@
 namespace stonebay {
 namespace {
 
-constexpr double kMaxMicroseconds = 9e15;  // exact as a double, some 285 years
+constexpr double kMaxMicroseconds = 9e15;  // about 285 years; exactly representable as a double
 constexpr double kMaxBytes = 1e15;
 constexpr std::size_t kMaxEditDistance = 2;
 
@@ -26,7 +26,7 @@
 
 struct Quantity {
   double value = 0;
-  std::string_view unit;  // as written; empty: none
+  std::string_view unit;  // as written; empty if there is none
 };
 
 std::optional<Quantity> parseQuantity(std::string_view text) {
@@ -54,7 +54,7 @@
   return valueError(text, "has the unknown unit '" + std::string(unit) + "'", fix);
 }
 
-// Levenshtein's distance, with one row of its table at a time.
+// Returns the Levenshtein distance. Only one row of the table is kept in memory.
 std::size_t editDistance(std::string_view from, std::string_view to) {
   std::vector<std::size_t> row(to.size() + 1);
   for (std::size_t k = 0; k < row.size(); ++k) row[k] = k;
@@ -75,11 +75,11 @@
 ParseResult<std::chrono::microseconds> parseDuration(std::string_view text) {
   if (text == "0") return std::chrono::microseconds(0);
   const auto quantity = parseQuantity(text);
-  if (!quantity) return valueError(text, "is no time", kDurationFix);
+  if (!quantity) return valueError(text, "is not a duration", kDurationFix);
   if (quantity->unit.empty()) return valueError(text, "has no unit", kDurationFix);
   const Unit* const unit = findUnit(kDurationUnits, quantity->unit);
   if (!unit && findUnit(kSizeUnits, quantity->unit))
-    return valueError(text, "is a size, and a time is wanted", kDurationFix);
+    return valueError(text, "is a size, not a duration", kDurationFix);
   if (!unit) return unknownUnit(text, quantity->unit, kDurationFix);
   const double us = quantity->value * unit->factor;
   if (us < 0) return valueError(text, "is negative", kDurationFix);
@@ -89,25 +89,25 @@
 
 ParseResult<std::uint64_t> parseSize(std::string_view text) {
   const auto quantity = parseQuantity(text);
-  if (!quantity) return valueError(text, "is no size", kSizeFix);
+  if (!quantity) return valueError(text, "is not a size", kSizeFix);
   if (quantity->unit.empty()) return valueError(text, "has no unit", kSizeFix);
   const Unit* const unit = findUnit(kSizeUnits, quantity->unit);
   if (!unit && findUnit(kDurationUnits, quantity->unit))
-    return valueError(text, "is a time, and a size is wanted", kSizeFix);
+    return valueError(text, "is a duration, not a size", kSizeFix);
   if (!unit) return unknownUnit(text, quantity->unit, kSizeFix);
   const double bytes = quantity->value * unit->factor;
   if (bytes < 0) return valueError(text, "is negative", kSizeFix);
   if (bytes > kMaxBytes) return valueError(text, "is too large", kSizeFix);
-  if (bytes != std::floor(bytes)) return valueError(text, "is no whole number of bytes", kSizeFix);
+  if (bytes != std::floor(bytes)) return valueError(text, "is not a whole number of bytes", kSizeFix);
   return static_cast<std::uint64_t>(bytes);
 }
 
 ParseResult<double> parseShare(std::string_view text) {
   const auto quantity = parseQuantity(text);
-  if (!quantity) return valueError(text, "is no share", kShareFix);
+  if (!quantity) return valueError(text, "is not a share", kShareFix);
   if (quantity->unit.empty()) return quantity->value;
   if (quantity->unit == "%") return quantity->value / 100;
-  return valueError(text, "is no share", kShareFix);
+  return valueError(text, "is not a share", kShareFix);
 }
 
 ParseResult<std::int64_t> parseCount(std::string_view text) {
@@ -115,13 +115,13 @@
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, count);
   if (error == std::errc() && stop == end) return count;
-  return valueError(text, "is no whole number", "write digits alone, such as 8");
+  return valueError(text, "is not a whole number", "write only digits, such as 8");
 }
 
 ParseResult<double> parseNumber(std::string_view text) {
   const auto quantity = parseQuantity(text);
   if (quantity && quantity->unit.empty()) return quantity->value;
-  return valueError(text, "is no number", "write a number such as 2.5");
+  return valueError(text, "is not a number", "write a number such as 2.5");
 }
 
 ParseResult<bool> parseFlag(std::string_view text) {
--- a/src/util/units.hpp
+++ b/src/util/units.hpp
@@ -1,5 +1,5 @@
-// Values with units, as people write them in configuration files. Pure functions: each parser returns the
-// value, or an error that says what is wrong and how to write it.
+// Parses and formats values with units, as written in configuration files. Pure functions. Each parser
+// returns the value, or an error that states the problem and how to correct it.
 #pragma once
 
 #include <chrono>
@@ -11,36 +11,39 @@
 
 namespace stonebay {
 
-/// Why a value could not be parsed.
+/// The reason why a value could not be parsed.
 struct ValueError {
-  std::string problem;  ///< what is wrong with it
+  std::string problem;  ///< what is wrong with the value
   std::string fix;      ///< what to write instead; may be empty
 };
 
-/// The parsed value, or the reason why there is none.
+/// A parsed value, or the reason why it could not be parsed.
 template <typename T>
 using ParseResult = std::variant<T, ValueError>;
 
-/// "200us", "1.5s", "2min"; units are us, ms, s, min, h and d. Only 0 needs no unit. Not negative.
+/// Parses a duration such as "200us", "1.5s" or "2min". The units are us, ms, s, min, h and d; only 0 may be
+/// without a unit. Negative durations are errors.
 ParseResult<std::chrono::microseconds> parseDuration(std::string_view text);
-/// "512B", "64KB", "32MB", "1GB", in powers of 1024. The result counts bytes.
+/// Parses a size such as "512B", "64KB", "32MB" or "1GB" and returns it in bytes. The units are powers of
+/// 1024.
 ParseResult<std::uint64_t> parseSize(std::string_view text);
-/// A fraction: "21%" or "0.21".
+/// Parses a fraction, written as "21%" or "0.21".
 ParseResult<double> parseShare(std::string_view text);
-/// A decimal integer.
+/// Parses a decimal integer.
 ParseResult<std::int64_t> parseCount(std::string_view text);
-/// A decimal number, without an exponent.
+/// Parses a decimal number without an exponent.
 ParseResult<double> parseNumber(std::string_view text);
-/// "yes", "on", "true", "no", "off" or "false".
+/// Parses "yes", "on", "true", "no", "off" or "false".
 ParseResult<bool> parseFlag(std::string_view text);
 
-/// The shortest text from which parseDuration reads the same value.
+/// Formats a duration so that parseDuration returns the same value, with the largest unit, up to h, that
+/// gives a whole number.
 std::string formatDuration(std::chrono::microseconds duration);
-/// The shortest text from which parseSize reads the same value.
+/// Formats a size so that parseSize returns the same value, with the largest unit that gives a whole number.
 std::string formatSize(std::uint64_t bytes);
 
-/// The candidate nearest to the text by edit distance, for "did you mean"; empty if all are more than two
-/// edits away. Of several at the same distance the earliest.
+/// Returns the candidate with the smallest edit distance to the text, for "did you mean" hints. Returns the
+/// first of several with the same distance, and an empty string if all are more than two edits away.
 std::string closestMatch(std::string_view text, const std::vector<std::string>& candidates);
 
 }  // namespace stonebay
--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -1,4 +1,4 @@
-// Commands, exit statuses, errors in the configuration.
+// The command line: commands, exit statuses, and errors in the configuration.
 #include <fcntl.h>
 #include <sys/stat.h>
 #include <sys/wait.h>
@@ -14,36 +14,37 @@
 namespace stonebay::test {
 namespace {
 
-// The one line that the program prints about a configuration that it does not accept.
-std::string startError(const std::string& text) {
+// Starts the program with an invalid configuration. Returns the error, which must be a single line.
+std::string startupError(const std::string& text) {
   char path[] = "/tmp/stonebay-test-XXXXXX";
   close(mkstemp(path));
   std::ofstream(path) << text;
   int err = -1, status = 0;
   const int pid = spawn(path, {}, err);
-  std::string said;
+  std::string output;
   char part[512];
-  for (ssize_t n; (n = read(err, part, sizeof part)) > 0;) said.append(part, static_cast<std::size_t>(n));
+  for (ssize_t n; (n = read(err, part, sizeof part)) > 0;) output.append(part, static_cast<std::size_t>(n));
   waitpid(pid, &status, 0);
   close(err);
   unlink(path);
-  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 1) << said;
-  EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << said;
-  return said;
+  EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 1) << output;
+  EXPECT_EQ(std::count(output.begin(), output.end(), '\n'), 1) << output;
+  return output;
 }
-// The exit status of a command, and its output on both streams.
+// Returns the exit status of a command, and its output on both streams.
 std::pair<int, std::string> runCommand(const std::vector<std::string>& arguments) {
   int out = -1, status = 0;
   const int pid = spawn("", {}, out, arguments);
-  std::string said;
+  std::string output;
   char part[4096];
-  for (ssize_t n; (n = read(out, part, sizeof part)) > 0;) said.append(part, static_cast<std::size_t>(n));
+  for (ssize_t n; (n = read(out, part, sizeof part)) > 0;) output.append(part, static_cast<std::size_t>(n));
   waitpid(pid, &status, 0);
   close(out);
-  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, said};
+  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, output};
 }
-// The configuration is a pipe first, so that the process is known to be reading it.
-TEST(CommandLine, SignalsThatComeWhileTheProgramStartsAreHandledOnceItServes) {
+// Guards against the loss of signals that arrive while the program starts. The configuration file is a pipe
+// at first, so that the signals arrive while the program is reading it.
+TEST(CommandLine, SignalsDuringStartupAreHandledOnceServing) {
   char path[] = "/tmp/stonebay-test-XXXXXX";
   close(mkstemp(path));
   unlink(path);
@@ -70,27 +71,27 @@
   EXPECT_EQ(runCommand({"serv"}).first, 2);
   EXPECT_EQ(runCommand({"check"}).first, 2);
   EXPECT_EQ(runCommand({"members", "--config", "/nonexistent", "--wait", "never"}).first, 2);
-  const auto [unread, why] = runCommand({"check", "/nonexistent"});
-  EXPECT_EQ(unread, 1);
-  EXPECT_EQ(why, "/nonexistent: it cannot be read; see that it exists and may be read\n");
+  const auto [unreadableStatus, error] = runCommand({"check", "/nonexistent"});
+  EXPECT_EQ(unreadableStatus, 1);
+  EXPECT_EQ(error, "/nonexistent: it cannot be read; check that it exists and is readable\n");
   EXPECT_EQ(runCommand({"serve", "--config", "/nonexistent"}).first, 1);
 
   char path[] = "/tmp/stonebay-test-XXXXXX";
   close(mkstemp(path));
   std::ofstream(path) << settingsFile({}, 1, {2});
   EXPECT_EQ(runCommand({"check", path}).first, 0);
-  // Discovery can't be reached: the endpoints of the settings are shown, and the exit status says so.
-  const auto [shown, table] = runCommand({"members", "--config", path, "--wait", "5"});
-  EXPECT_EQ(shown, 1);
+  // Discovery is unreachable, so the endpoints in the settings file are printed and the exit status is 1.
+  const auto [membersStatus, table] = runCommand({"members", "--config", path, "--wait", "5"});
+  EXPECT_EQ(membersStatus, 1);
   EXPECT_NE(table.find("127.0.0.1:2"), std::string::npos) << table;
-  EXPECT_NE(table.find("shown is what the settings know"), std::string::npos) << table;
+  EXPECT_NE(table.find("showing the members in the settings file"), std::string::npos) << table;
   std::ofstream(path) << settingsFile({}, 1, {2}) << "[log]\nlevel = loud\n[rules]\nfall_for = 3\n";
-  const auto [faulty, faults] = runCommand({"check", path});
-  EXPECT_EQ(faulty, 1);
-  EXPECT_EQ(std::count(faults.begin(), faults.end(), '\n'), 2) << faults;
+  const auto [invalidStatus, errors] = runCommand({"check", path});
+  EXPECT_EQ(invalidStatus, 1);
+  EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 2) << errors;
   unlink(path);
 }
-TEST(CommandLine, ServesAndReloadsByAnIniFile) {
+TEST(CommandLine, ServesAndReloadsFromAnIniFile) {
   Setting s;
   s.ini = true;
   Scenario t(s);
@@ -107,9 +108,10 @@
     proxy expect exit 0
   )");
 }
-// The smallest limits in service are 32 MB and 256 descriptors, which an older bound did not accept: a third
-// of the descriptors is for clients with requests, and each may need a connection to an endpoint.
-TEST(Configuration, AcceptsTheSmallestLimitsInService) {
+// Guards against bounds that reject the smallest limits in use, 32 MB and 256 descriptors, as an earlier
+// version did. A third of the descriptors must be available for clients with requests, and each of these
+// clients may need a connection to an endpoint.
+TEST(Configuration, AcceptsTheSmallestLimitsInUse) {
   for (const auto& [memory, sockets] : {std::pair{32, 256}, {48, 384}, {64, 512}, {192, 1024}}) {
     Setting s;
     s.memoryMb = memory;
@@ -122,28 +124,32 @@
   }
 }
 TEST(Configuration, ErrorsNameTheKey) {
-  const std::string good = configuration({}, 1, {2});
-  const auto with = [&](const std::string& from, const std::string& to) {
-    std::string text = good;
-    const std::size_t at = text.find(from);
-    EXPECT_NE(at, std::string::npos) << from;
-    return startError(text.replace(at, from.size(), to));
+  const std::string valid = configuration({}, 1, {2});
+  const auto errorWithReplaced = [&](const std::string& from, const std::string& to) {
+    std::string text = valid;
+    const std::size_t offset = text.find(from);
+    EXPECT_NE(offset, std::string::npos) << from;
+    return startupError(text.replace(offset, from.size(), to));
   };
-  const auto has = [](const std::string& said, const std::string& key) {
-    EXPECT_NE(said.find(key), std::string::npos) << said;
+  const auto expectNamesKey = [](const std::string& output, const std::string& key) {
+    EXPECT_NE(output.find(key), std::string::npos) << output;
   };
-  has(startError("{"), "JSON");
-  has(with("\"listen\"", "\"listened\""), "key listen:");
-  has(with("127.0.0.1:0", "127.0.0.1:99999"), "key listen:");
-  has(with("8c1f30d27a5be964", "xyz"), "key seed:");
-  has(with("\"sockets\":1024", "\"sockets\":7"), "key limits.sockets:");
-  has(with("\"memory_mb\":192", "\"memory_mb\":8"), "key limits.memory_mb:");
-  has(with("\"sockets\":1024", "\"sockets\":\"many\""), "key limits.sockets:");
-  has(with("\"lifecycle\":\"active\"", "\"lifecycle\":\"odd\""), "key known.instances[0].lifecycle:");
-  has(with("\"keyed\"", "\"key\""), "classes.1.effect");
-  has(with("\"promiseUs\":8000000", "\"promiseUs\":0"), "key settings.classes[0].promiseUs:");
-  has(with("\"startCapacity\":0.21", "\"startCapacity\":2"), "key settings.obligations.startCapacity:");
-  has(with("\"dialTimeoutUs\":250000", "\"dialTimeoutUs\":0"), "key settings.allowed.dialTimeoutUs:");
+  expectNamesKey(startupError("{"), "JSON");
+  expectNamesKey(errorWithReplaced("\"listen\"", "\"listened\""), "key listen:");
+  expectNamesKey(errorWithReplaced("127.0.0.1:0", "127.0.0.1:99999"), "key listen:");
+  expectNamesKey(errorWithReplaced("8c1f30d27a5be964", "xyz"), "key seed:");
+  expectNamesKey(errorWithReplaced("\"sockets\":1024", "\"sockets\":7"), "key limits.sockets:");
+  expectNamesKey(errorWithReplaced("\"memory_mb\":192", "\"memory_mb\":8"), "key limits.memory_mb:");
+  expectNamesKey(errorWithReplaced("\"sockets\":1024", "\"sockets\":\"many\""), "key limits.sockets:");
+  expectNamesKey(errorWithReplaced("\"lifecycle\":\"active\"", "\"lifecycle\":\"odd\""),
+                 "key known.instances[0].lifecycle:");
+  expectNamesKey(errorWithReplaced("\"keyed\"", "\"key\""), "classes.1.effect");
+  expectNamesKey(errorWithReplaced("\"promiseUs\":8000000", "\"promiseUs\":0"),
+                 "key settings.classes[0].promiseUs:");
+  expectNamesKey(errorWithReplaced("\"startCapacity\":0.21", "\"startCapacity\":2"),
+                 "key settings.obligations.startCapacity:");
+  expectNamesKey(errorWithReplaced("\"dialTimeoutUs\":250000", "\"dialTimeoutUs\":0"),
+                 "key settings.allowed.dialTimeoutUs:");
 }
 
 }  // namespace
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,4 @@
-// The INI form of the configuration: what it fills, and errors that name line, key and correction.
+// Parsing of the configuration files: the resulting Config, and error messages with line, key and correction.
 #include "config/config.hpp"
 
 #include <gtest/gtest.h>
@@ -18,23 +18,23 @@
 
 std::string withReplaced(const std::string& from, const std::string& to) {
   std::string text = kSampleSettings;
-  const auto at = text.find(from);
-  EXPECT_NE(at, std::string::npos) << from;
-  return text.replace(at, from.size(), to);
+  const auto offset = text.find(from);
+  EXPECT_NE(offset, std::string::npos) << from;
+  return text.replace(offset, from.size(), to);
 }
-// All errors, a line each.
-std::string errorsOf(const std::string& text) {
+// Returns all errors in the text, one per line.
+std::string settingsErrors(const std::string& text) {
   try {
     parseSettings(text, "f.ini");
   } catch (const InvalidSettings& e) {
-    std::string all;
-    for (const ConfigError& error : e.errors) all += error.text() + "\n";
-    return all;
+    std::string errors;
+    for (const ConfigError& error : e.errors) errors += error.text() + "\n";
+    return errors;
   }
   return "";
 }
 
-TEST(ConfigTest, ReloadSkipsTheListOfKnownEndpoints) {
+TEST(ConfigTest, ReloadSkipsInitialEndpoints) {
   const std::string json = test::configuration({}, 8500, {1, 2, 3});
   EXPECT_EQ(parseConfig(json).initialEndpoints.instances.size(), 3u);
   const Config reloaded = parseConfig(json, InitialEndpoints::Skip);
@@ -42,7 +42,7 @@
   EXPECT_EQ(reloaded.discovery, parseConfig(json).discovery);
 }
 
-TEST(Settings, DefaultsEqualThoseOfTheJsonForm) {
+TEST(Settings, DefaultsEqualThoseOfTheJsonFormat) {
   const Config fromIni = parseSettings(kSampleSettings, "f.ini");
   EXPECT_EQ(fromIni.name, "desk-1");
   EXPECT_EQ(fromIni.discovery.text(), "127.0.0.1:8500");
@@ -56,7 +56,7 @@
   EXPECT_EQ(write.deduplicationWindow, microseconds(2000000));
   EXPECT_EQ(write.latePriorityShare, 0.5);
 
-  // The defaults are those that the platform's settings state today.
+  // The platform's JSON configuration sets these to the values that are the defaults of the INI format.
   test::Setting limits;
   limits.memoryMb = 64;
   const Config fromJson = parseConfig(test::configuration(limits, 8500, {}));
@@ -90,26 +90,27 @@
 }
 
 TEST(Settings, ErrorsNameFileLineKeyAndCorrection) {
-  EXPECT_EQ(errorsOf(kSampleSettings), "");
+  EXPECT_EQ(settingsErrors(kSampleSettings), "");
   const std::vector<std::pair<std::string, std::string>> cases{
       {withReplaced("aim = 400ms", "aim = 400"),
        "f.ini:22: [class tour-read] aim: '400' has no unit; write a number with us, ms, s, min, h or d, such "
        "as 250ms"},
       {withReplaced("aim = 400ms", "aim = 4MB"),
-       "f.ini:22: [class tour-read] aim: '4MB' is a size, and a time is wanted"},
+       "f.ini:22: [class tour-read] aim: '4MB' is a size, not a duration"},
       {withReplaced("aim = 400ms", "aim = -4ms"), "f.ini:22: [class tour-read] aim: '-4ms' is negative"},
       {withReplaced("aim = 400ms", "aim = 5000h"),
        "f.ini:22: [class tour-read] aim: '5000h' is out of range; write 1ms to 1h"},
       {withReplaced("give_up = 1.2s", "give_up = 100ms"),
-       "f.ini:23: [class tour-read] give_up: it is shorter than the aim; make it at least the aim"},
-      {withReplaced("max_age = 200ms\n", ""), "f.ini:18: [class tour-read] max_age: data = bounded needs it"},
+       "f.ini:23: [class tour-read] give_up: it is shorter than aim; make it at least as long as aim"},
+      {withReplaced("max_age = 200ms\n", ""),
+       "f.ini:18: [class tour-read] max_age: it is required with data = bounded"},
       {withReplaced("data = bounded", "data = bonded"),
-       "f.ini:19: [class tour-read] data: 'bonded' is none of any, bounded, session, fresh, write; did you "
-       "mean 'bounded'?"},
+       "f.ini:19: [class tour-read] data: 'bonded' is not one of any, bounded, session, fresh, write; did "
+       "you mean 'bounded'?"},
       {withReplaced("repeats = keyed", "repeats = safe"),
-       "f.ini:26: [class handset-write] repeats: a write that is safe"},
+       "f.ini:26: [class handset-write] repeats: a write with repeats = safe"},
       {withReplaced("repeats_dropped_for = 2s\n", ""),
-       "f.ini:24: [class handset-write] repeats_dropped_for: repeats = keyed needs it"},
+       "f.ini:24: [class handset-write] repeats_dropped_for: it is required with repeats = keyed"},
       {withReplaced("worth = 6", "wroth = 6"),
        "f.ini:30: [class handset-write] wroth: there is no such key; did you mean 'worth'?"},
       {withReplaced("[class tour-read]", "[clas tour-read]"),
@@ -120,53 +121,53 @@
       {withReplaced("name = desk-1\n", ""),
        "f.ini:2: [proxy] name: it is missing; add name = ... to [proxy]"},
       {withReplaced("listen = 127.0.0.1:0", "listen = desk.example:5432"),
-       "f.ini:4: [proxy] listen: 'desk.example:5432' is no address with a port; write it as 10.1.0.18:5432 "
-       "or [fd00::18]:5432; names are not looked up here"},
+       "f.ini:4: [proxy] listen: 'desk.example:5432' is not an address with a port; write it as "
+       "10.1.0.18:5432 or [fd00::18]:5432; host names are not resolved"},
       {withReplaced("registry = 127.0.0.1:8500", ""),
-       "f.ini:7: [discovery] registry: source = registry needs it"},
+       "f.ini:7: [discovery] registry: it is required with source = registry"},
       {withReplaced("group = rentals", "group = rental"),
        "f.ini:13: [member s-1] group: 'rental' is neither a [group] nor a number up to 65535; add [group "
        "rental]"},
       {withReplaced("[::1]:6002", "127.0.0.1:6001"),
-       "f.ini:16: [member s-2] address: [member s-1] has this address"},
+       "f.ini:16: [member s-2] address: [member s-1] already has this address"},
       {withReplaced("[member s-2]", "[member s-1]"),
-       "f.ini:15: [member s-1]: it stands on line 11 already; put its keys there"},
+       "f.ini:15: [member s-1]: the section already begins on line 11; move its keys there"},
       {withReplaced("zones = ruwi, seeb", "zones = ruwi, seeb\nname = other"),
-       "f.ini:6: [proxy] name: it stands on line 3 already; keep one of the two"},
+       "f.ini:6: [proxy] name: it is already set on line 3; keep one of the two"},
       {withReplaced("number = 3", "number = three"),
-       "f.ini:10: [group rentals] number: 'three' is no whole number"},
+       "f.ini:10: [group rentals] number: 'three' is not a whole number"},
       {withReplaced("seed = 8c1f30d27a5be964", "seed = twelve"),
-       "f.ini:6: [proxy] seed: 'twelve' is no hexadecimal number"},
+       "f.ini:6: [proxy] seed: 'twelve' is not a hexadecimal number"},
       {withReplaced("late_worth = 50%", "late_worth = 150%"),
        "f.ini:31: [class handset-write] late_worth: '150%' is out of range; write 0% to 100%"},
       {withReplaced("zones = ruwi, seeb", "zones"), "f.ini:5: neither a [section] nor key = value"},
-      {withReplaced("zones = ruwi", "zones = " + std::string(400, 'z')), "f.ini:5: longer than"},
+      {withReplaced("zones = ruwi", "zones = " + std::string(400, 'z')), "f.ini:5: the line is longer than"},
       {"name = x\n" + kSampleSettings,
        "f.ini:1: a key before the first section; begin with a section such as [proxy]"},
       {"", "f.ini: there is no [class NAME]"},
   };
-  for (const auto& [text, wanted] : cases)
-    EXPECT_NE(errorsOf(text).find(wanted), std::string::npos)
-        << "wanted " << wanted << "\ngot " << errorsOf(text);
+  for (const auto& [text, expected] : cases)
+    EXPECT_NE(settingsErrors(text).find(expected), std::string::npos)
+        << "expected " << expected << "\ngot " << settingsErrors(text);
 }
 
-// One round of corrections has to do, so all errors are reported, in the order of the lines.
-TEST(Settings, AllErrorsAreReportedInTheOrderOfTheLines) {
+// Reporting all errors at once lets the operator correct the file in one round.
+TEST(Settings, AllErrorsAreReportedInLineOrder) {
   std::string text = withReplaced("aim = 400ms", "aim = soon");
   text.replace(text.find("worth = 6"), 9, "worth = much");
-  const std::string all = errorsOf(text);
-  EXPECT_EQ(std::count(all.begin(), all.end(), '\n'), 2) << all;
-  EXPECT_LT(all.find("f.ini:22"), all.find("f.ini:30"));
+  const std::string errors = settingsErrors(text);
+  EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 2) << errors;
+  EXPECT_LT(errors.find("f.ini:22"), errors.find("f.ini:30"));
   try {
     parseSettings(text, "f.ini");
-    FAIL() << "no fault";
+    FAIL() << "no error was reported";
   } catch (const InvalidInput& e) {
     EXPECT_NE(std::string(e.what()).find("(and 1 more)"), std::string::npos);
     EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
   }
 }
 
-// The operators' page is printed from the schema, by `stonebay check --keys`.
+// The operators' page is the output of `stonebay check --keys`.
 TEST(Settings, OperatorsPageMatchesTheSchema) {
   std::ifstream file(STONEBAY_SOURCE "/docs/operators/settings.md");
   std::stringstream page;
--- a/tests/dns_message_test.cpp
+++ b/tests/dns_message_test.cpp
@@ -1,4 +1,4 @@
-// DNS messages: encoding and parsing.
+// Encoding and parsing of DNS messages.
 #include <gtest/gtest.h>
 
 #include <pcg_random.hpp>
@@ -26,7 +26,7 @@
   return message;
 }
 
-TEST(DnsMessage, EncodedMessagesParseToTheSame) {
+TEST(DnsMessage, EncodedMessageParsesToTheSameMessage) {
   const auto message = dns::parse(dns::encode(sampleMessage()));
   ASSERT_TRUE(message);
   EXPECT_EQ(message->id, 0x1234);
@@ -46,16 +46,16 @@
   EXPECT_EQ(std::get<dns::Bytes>(message->additionals[2].data).bytes, ipv4Bytes("10.1.2.3"));
 }
 
-TEST(DnsMessage, EncodingLeavesOutAdditionalsFirstAndThenTruncates) {
-  const auto all = dns::encode(sampleMessage());
-  const auto less = dns::parse(dns::encode(sampleMessage(), all.size() - 1));
-  ASSERT_TRUE(less);
-  EXPECT_FALSE(less->truncated);
-  EXPECT_TRUE(less->additionals.empty());
-  const auto none = dns::parse(dns::encode(sampleMessage(), 60));
-  ASSERT_TRUE(none);
-  EXPECT_TRUE(none->truncated);
-  EXPECT_TRUE(none->answers.empty());
+TEST(DnsMessage, EncodingOmitsAdditionalsFirstAndThenTruncates) {
+  const auto complete = dns::encode(sampleMessage());
+  const auto withoutAdditionals = dns::parse(dns::encode(sampleMessage(), complete.size() - 1));
+  ASSERT_TRUE(withoutAdditionals);
+  EXPECT_FALSE(withoutAdditionals->truncated);
+  EXPECT_TRUE(withoutAdditionals->additionals.empty());
+  const auto withoutRecords = dns::parse(dns::encode(sampleMessage(), 60));
+  ASSERT_TRUE(withoutRecords);
+  EXPECT_TRUE(withoutRecords->truncated);
+  EXPECT_TRUE(withoutRecords->answers.empty());
 }
 
 TEST(DnsMessage, MalformedMessagesAreRejected) {
@@ -64,34 +64,34 @@
   EXPECT_FALSE(dns::parse("short", &error));
   EXPECT_EQ(error.code, dns::ParseError::Code::TooShort);
   EXPECT_FALSE(error.detail.empty());
-  // Every truncation of a valid message, and a name that points at itself.
-  const std::string good = dns::encode(sampleMessage());
-  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_FALSE(dns::parse(good.substr(0, n))) << n;
+  // Every truncation of a valid message, and a compression pointer that points to itself.
+  const std::string valid = dns::encode(sampleMessage());
+  for (std::size_t n = 0; n < valid.size(); ++n) EXPECT_FALSE(dns::parse(valid.substr(0, n))) << n;
   std::string loop = dns::encodeQuery(1, {kServiceName, Type::Ptr}, 0);
   loop.replace(12, 2, "\xc0\x0c", 2);
   EXPECT_FALSE(dns::parse(loop));
   std::string label = dns::encodeQuery(1, {kServiceName, Type::Ptr}, 0);
-  label[12] = 64 | 11;  // neither a length nor a pointer
+  label[12] = 64 | 11;  // the label type 01, which is neither a length nor a compression pointer
   EXPECT_FALSE(dns::parse(label));
-  std::string counts = good;
+  std::string counts = valid;
   counts[6] = '\xff';
   EXPECT_FALSE(dns::parse(counts));
 }
 
-// A read out of bounds is found by the sanitizers of the CI build.
+// Guards against reads out of bounds, which the sanitizers of the CI build detect.
 TEST(DnsMessage, MutatedMessagesAreParsedWithinTheirBounds) {
-  const std::string good = dns::encode(sampleMessage());
+  const std::string valid = dns::encode(sampleMessage());
   pcg32 random(11);
-  int parsed = 0;
+  int parsedCount = 0;
   for (int k = 0; k < 20000; ++k) {
-    std::string bad = good;
+    std::string mutated = valid;
     for (int n = 1 + static_cast<int>(random(4)); n > 0; --n)
-      bad[random(static_cast<unsigned>(bad.size()))] = static_cast<char>(random());
-    if (random(4) == 0) bad.resize(random(static_cast<unsigned>(bad.size())));
-    parsed += dns::parse(bad).has_value();
+      mutated[random(static_cast<unsigned>(mutated.size()))] = static_cast<char>(random());
+    if (random(4) == 0) mutated.resize(random(static_cast<unsigned>(mutated.size())));
+    parsedCount += dns::parse(mutated).has_value();
   }
-  EXPECT_GT(parsed, 0);
-  EXPECT_LT(parsed, 20000);
+  EXPECT_GT(parsedCount, 0);
+  EXPECT_LT(parsedCount, 20000);
 }
 
 }  // namespace
--- a/tests/dns_name_test.cpp
+++ b/tests/dns_name_test.cpp
@@ -1,4 +1,4 @@
-// DNS names: canonical form, limits, escapes.
+// DNS names: canonical form, length limits and escaping.
 #include <gtest/gtest.h>
 
 #include "codec/dns/name.hpp"
--- a/tests/http_response_test.cpp
+++ b/tests/http_response_test.cpp
@@ -15,8 +15,8 @@
   for (std::size_t step = 1; step <= text.size(); ++step) {
     http::Response response;
     std::string body;
-    for (std::size_t at = 0; at < text.size(); at += step)
-      ASSERT_TRUE(response.feed(std::string_view(text).substr(at, step), body)) << step;
+    for (std::size_t offset = 0; offset < text.size(); offset += step)
+      ASSERT_TRUE(response.feed(std::string_view(text).substr(offset, step), body)) << step;
     EXPECT_EQ(response.status(), 200);
     EXPECT_EQ(body, "{\"a\":1}\n\n0123456\r\n") << step;
     EXPECT_TRUE(response.done());
@@ -32,12 +32,12 @@
   EXPECT_TRUE(response.done());
   EXPECT_EQ(response.status(), 503);
   EXPECT_EQ(body, "down");
-  http::Response none;
-  EXPECT_TRUE(none.feed("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", body));
-  EXPECT_TRUE(none.done());
+  http::Response emptyResponse;
+  EXPECT_TRUE(emptyResponse.feed("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n", body));
+  EXPECT_TRUE(emptyResponse.done());
 }
 
-TEST(HttpResponse, MalformedResponseIsRejectedAtOnce) {
+TEST(HttpResponse, MalformedResponseIsRejected) {
   for (const std::string& text :
        {std::string("nonsense that is long\r\n"), std::string("HTTP/1.1 2x0 OK\r\n"),
         std::string("HTTP/1.1 200 OK\r\nno colon\r\n"), std::string(9000, 'x'),
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -9,7 +9,7 @@
 namespace stonebay {
 namespace {
 
-// A fault that affects every request must not fill the log.
+// Guards against a failure that affects every request and fills the log.
 TEST(Log, IsRateLimitedAndCountsDroppedLines) {
   testing::internal::CaptureStderr();
   for (int k = 0; k < 5000; ++k) logEvent(LogLevel::Info, "line", {{"k", k}});
@@ -21,23 +21,23 @@
   EXPECT_EQ(text.rfind("ts=", 0), 0u);
 }
 
-TEST(Log, FrequentEventsLeaveTheLinesOfOtherEventsIn) {
+TEST(Log, FrequentEventsDoNotSuppressOtherEvents) {
   testing::internal::CaptureStderr();
   for (int k = 0; k < 5000; ++k) logEvent(LogLevel::Info, "frequent", {{"k", k}});
   logEvent(LogLevel::Info, "rare");
   EXPECT_NE(testing::internal::GetCapturedStderr().find("event=rare"), std::string::npos);
 }
 
-// Input from the network is quoted in the log: it must neither start a line of its own nor break a parser.
+// Log lines quote input from the network, which must neither start a new line nor break the format.
 TEST(Log, EscapesQuotedTextInBothFormats) {
   const std::string bytes("a\"b\nlevel=error \x80\0\\", 19);
   EXPECT_EQ(
-      formatEvent(LogForm::Logfmt, "seen", {{"what", bytes}, {"n", -3}, {"ok", true}, {"word", "plain"}}),
+      formatEvent(LogFormat::Logfmt, "seen", {{"what", bytes}, {"n", -3}, {"ok", true}, {"word", "plain"}}),
       "event=seen what=\"a\\\"b\\nlevel=error \\u0080\\u0000\\\\\" n=-3 ok=true word=plain");
-  EXPECT_EQ(formatEvent(LogForm::Json, "seen", {{"what", bytes}, {"share", 0.25}, {"empty", ""}}),
+  EXPECT_EQ(formatEvent(LogFormat::Json, "seen", {{"what", bytes}, {"share", 0.25}, {"empty", ""}}),
             "\"event\":\"seen\",\"what\":\"a\\\"b\\nlevel=error "
             "\\u0080\\u0000\\\\\",\"share\":0.25,\"empty\":\"\"");
-  EXPECT_LT(formatEvent(LogForm::Logfmt, "long", {{"what", std::string(1 << 20, 'x')}}).size(), 500u);
+  EXPECT_LT(formatEvent(LogFormat::Logfmt, "long", {{"what", std::string(1 << 20, 'x')}}).size(), 500u);
 }
 
 }  // namespace
--- a/tests/pg_codec_test.cpp
+++ b/tests/pg_codec_test.cpp
@@ -1,4 +1,4 @@
-// PostgreSQL messages and the comment of a statement.
+// Encoding and parsing of PostgreSQL messages and of the comment in a statement.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace stonebay {
 namespace {
 
-TEST(PgStatementComment, HasEveryFieldOfTheWire) {
+TEST(PgStatementComment, EveryFieldIsParsed) {
   const std::string text =
       "SELECT blob FROM rows WHERE handle = 'a/*b*/' "
       "/* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
@@ -46,7 +46,7 @@
   EXPECT_FALSE(headerWithLength(pg::kMaxMessageSize + 1));
   ASSERT_TRUE(headerWithLength(4));
   EXPECT_EQ(headerWithLength(4)->bodySize, 0u);
-  EXPECT_TRUE(headerWithLength(2 * 65536 + 512));  // the longest value in hex
+  EXPECT_TRUE(headerWithLength(2 * 65536 + 512));  // fits a value of the maximum size in hexadecimal
 }
 
 TEST(PgMessages, ErrorsRowsAndParametersRoundTrip) {
--- a/tests/sample_settings.hpp
+++ b/tests/sample_settings.hpp
@@ -1,4 +1,4 @@
-// A valid file of settings that tests start from.
+// A valid settings file that tests modify.
 #pragma once
 
 #include <string>
--- a/tests/units_test.cpp
+++ b/tests/units_test.cpp
@@ -1,4 +1,4 @@
-// Values with units.
+// Parsing and formatting of values with units.
 #include "util/units.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using std::chrono::microseconds;
 
-TEST(Units, ParseWhatTheyFormat) {
+TEST(Units, FormattedValuesParseToTheSameValues) {
   for (const std::int64_t us :
        {0L, 1L, 999L, 1000L, 1500L, 250000L, 60000000L, 90000000L, 3600000000L, 86400000000L})
     EXPECT_EQ(std::get<microseconds>(parseDuration(formatDuration(microseconds(us)))), microseconds(us));
