--- a/testbed/audit.cpp
+++ b/testbed/audit.cpp
@@ -52,14 +52,17 @@
   requestEnds_.onEnd(at, id);
 }
 
-// One that the proxy has read, as its attempts show. A close that crosses a request that was not read is
-// allowed.
+// Counts only requests that had an attempt, which shows that the proxy had read them. The proxy may close a
+// connection while a request that it has not read is on its way.
 void RunAudit::onClosedUnanswered(Time at, const std::string& id, bool isExcused) {
   if (isExcused || !requestEnds_.hadAttempt(id)) return;
-  log_.record(at, Rule::OneCorrectResponse, "id " + id + ": closed without an answer");
+  log_.record(at, Rule::OneCorrectResponse,
+              "id " + id + ": the proxy closed the connection without a response");
 }
 
-void RunAudit::finish(Time now) { concurrency_.judgeOverlaps(now + settings_.cancelNotice + Time(1)); }
+void RunAudit::finish(Time now) {
+  concurrency_.judgeOverlaps(now + settings_.cancelDetectionDelay + Time(1));
+}
 
 Figures RunAudit::figures() const {
   Figures figures;
--- a/testbed/audit.hpp
+++ b/testbed/audit.hpp
@@ -1,4 +1,4 @@
-// Judges a run by what the stand-ins observed on their sockets and by what the clients received.
+// Judges a run from what the stand-ins observed on their sockets and what the clients received.
 #pragma once
 
 #include <cstddef>
@@ -12,26 +12,26 @@
 
 namespace stonebay::testbed {
 
-/// Passes the events of a run to its auditors and computes the figures that claims and reports use. Pure:
-/// events come with their times, in the order in which they happened.
+/// Passes the events of a run to its auditors and computes the figures that claims and reports use. Does
+/// no I/O and reads no clock; the caller passes each event with its time, in chronological order.
 class RunAudit {
  public:
   explicit RunAudit(const AuditSettings& settings = {});
   RunAudit(const RunAudit&) = delete;
   RunAudit& operator=(const RunAudit&) = delete;
 
-  // Discovery.
+  // Discovery events.
   void onWithdrawn(Time at, int endpoint) { drain_.onWithdrawn(at, endpoint); }
   void onListing(Time at, int proxy, int endpoint, bool listed) {
     drain_.onListing(at, proxy, endpoint, listed);
   }
 
-  // Endpoints.
-  /// @return the token of the attempt, for onAttemptEnded.
+  // Endpoint events.
+  /// Returns the token of the attempt, to be passed to onAttemptEnded().
   std::uint64_t onAttempt(AttemptRecord attempt);
-  /// The attempt was answered, or its connection ended.
+  /// Called when the attempt is answered or its connection ends.
   void onAttemptEnded(Time at, std::uint64_t token, bool served);
-  /// A write took effect; a repeat that was recognised as one does not count.
+  /// Called when a write takes effect. Not called for a repeat that the endpoint dropped as a duplicate.
   void onWriteApplied(Time at, const std::string& key, Time deduplicationWindow) {
     idempotency_.onWriteApplied(at, key, deduplicationWindow);
   }
@@ -39,24 +39,24 @@
   void onPeakOverload(double overload) { overload_.onPeakOverload(overload); }
   void onHealthCheck() { ++healthChecks_; }
 
-  // Clients.
+  // Client events.
   void onRequest(Time at, const std::string& id, Time deadline = Time::max()) {
     responseAuditor_.onRequest(at, id);
     requestEnds_.onRequest(id, deadline);
   }
   void onResponse(const ResponseEvent& response);
-  /// The client has closed its connection, or cancelled, with the request still unanswered.
+  /// Called when a client disconnects or cancels before its request is answered.
   void onClientLeft(Time at, const std::string& id);
-  /// The proxy closed the connection of a request that it has not answered.
-  /// @param isExcused its process was killed
+  /// Called when the proxy closes the connection of a request that it has not answered.
+  /// @param isExcused true if the proxy's process was killed
   void onClosedUnanswered(Time at, const std::string& id, bool isExcused);
   void onUnexpectedResponse() { responseAuditor_.onUnexpectedResponse(); }
 
-  /// Judges what is still undecided at the end of the run.
+  /// Judges the overlapping attempts that are still undecided at the end of the run.
   void finish(Time now);
 
   std::size_t count(RequestResult result) const { return responseAuditor_.count(result); }
-  /// All figures, by the names that claims use.
+  /// Returns all figures, under the names that claims use.
   Figures figures() const;
   const std::vector<AttemptRecord>& attempts() const { return attempts_; }
   const std::vector<ResponseRecord>& responses() const { return responseAuditor_.responses(); }
--- a/testbed/audit_records.hpp
+++ b/testbed/audit_records.hpp
@@ -1,4 +1,5 @@
-// What the stand-ins and the clients observed in a run: the input of the auditors and of the report's tables.
+// Events that the stand-ins and the clients observed during a run. They are the input of the auditors and of
+// the report's tables.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
   Unanswered  ///< its deadline passed without a response
 };
 
-/// The result as the report names it.
+/// Returns the name of the result in figures and reports.
 constexpr const char* resultName(RequestResult result) {
   switch (result) {
     case RequestResult::Served:
@@ -44,13 +45,13 @@
   std::string idempotencyKey;
   std::string requestClass;
   bool isRead = false;
-  Time dataAge{};           ///< of the endpoint's data when the attempt arrived
-  Time maxStaleness{};      ///< 0: any age is allowed
-  Time timeTold{};          ///< that the proxy says it will wait
+  Time dataAge{};           ///< age of the endpoint's data when the attempt arrived
+  Time maxStaleness{};      ///< 0 means that data of any age is allowed
+  Time timeTold{};          ///< time left until the deadline, as sent by the proxy with the attempt
   std::uint64_t token = 0;  ///< identifies the attempt; assigned by RunAudit::onAttempt
 };
 
-/// The response to a request, or its end without one.
+/// The response to a request, or the end of a request that got none.
 struct ResponseRecord {
   Time at{};
   Time latency{};
@@ -58,22 +59,23 @@
   RequestResult result{};
 };
 
-/// A response with all that its auditor judges.
+/// A response with the values that ResponseAuditor checks.
 struct ResponseEvent {
   ResponseRecord record;
   std::string value;
   bool onTime = false;        ///< within the latency objective
-  double priorityWeight = 0;  ///< of the request; 0 for an attempt that will be retried
+  double priorityWeight = 0;  ///< of the request; 0 if the client will retry it
   double earnedWeight = 0;
 };
 
-/// A stand-in of discovery reported a change of an endpoint to a proxy.
+/// A change of an endpoint's state that a discovery stand-in reported to a proxy.
 struct ListingRecord {
   Time at{};
   int proxy = 0;
   int endpoint = 0;
-  bool listed = false;                  ///< it may be sent requests
-  std::optional<Time> sinceWithdrawal;  ///< for an endpoint that is no longer listed
+  bool listed = false;  ///< whether the proxy may send requests to the endpoint
+  /// Time since the endpoint was withdrawn; set only if it is no longer listed.
+  std::optional<Time> sinceWithdrawal;
 };
 
 /// The rules that a proxy must keep.
@@ -87,7 +89,7 @@
   OneCorrectResponse
 };
 
-/// The figure under which claims and reports count the violations of a rule.
+/// Returns the name of the figure that counts the violations of a rule in claims and reports.
 constexpr const char* figureName(Rule rule) {
   switch (rule) {
     case Rule::NoAttemptAfterWithdrawal:
--- a/testbed/auditors.cpp
+++ b/testbed/auditors.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t kMaxDetailedViolations = 1000;
-constexpr std::size_t kMaxValueShown = 40;
+constexpr std::size_t kMaxValueBytesShown = 40;
 
 std::string wholeMilliseconds(Time time) { return std::to_string(time.count() / 1000); }
 
@@ -51,8 +51,9 @@
     return;
   }
   log_.record(attempt.at, Rule::NoAttemptAfterWithdrawal,
-              "to server " + std::to_string(attempt.endpoint) + " by proxy " + std::to_string(attempt.proxy) +
-                  ", " + wholeMilliseconds(sinceNotified) + " ms after it was told");
+              "attempt sent to server " + std::to_string(attempt.endpoint) + " by proxy " +
+                  std::to_string(attempt.proxy) + ", " + wholeMilliseconds(sinceNotified) +
+                  " ms after it was notified of the withdrawal");
 }
 
 void StalenessAuditor::onAttempt(const AttemptRecord& attempt) {
@@ -60,7 +61,7 @@
   if (attempt.dataAge <= attempt.maxStaleness + settings_.stalenessTolerance) return;
   log_.record(attempt.at, Rule::NoStaleRead,
               "id " + attempt.id + ": data " + wholeMilliseconds(attempt.dataAge) + " ms old, " +
-                  wholeMilliseconds(attempt.maxStaleness) + " allowed");
+                  wholeMilliseconds(attempt.maxStaleness) + " ms allowed");
 }
 
 void ConcurrencyAuditor::onAttempt(const AttemptRecord& attempt) {
@@ -91,7 +92,7 @@
 void ConcurrencyAuditor::judgeOverlaps(Time now) {
   std::vector<Overlap> undecided;
   for (Overlap& overlap : overlaps_) {
-    if (now - overlap.at <= settings_.cancelNotice)
+    if (now - overlap.at <= settings_.cancelDetectionDelay)
       undecided.push_back(std::move(overlap));
     else
       judge(overlap);
@@ -105,7 +106,8 @@
   for (const InFlightAttempt& attempt : it->second)
     if (attempt.overlappedAt == overlap.at)
       log_.record(overlap.at, Rule::NoConcurrentAttempts,
-                  "id " + overlap.id + " is still out at server " + std::to_string(attempt.endpoint));
+                  "id " + overlap.id + ": another attempt is still in flight at server " +
+                      std::to_string(attempt.endpoint));
 }
 
 void IdempotencyAuditor::onWriteApplied(Time at, const std::string& key, Time deduplicationWindow) {
@@ -113,11 +115,11 @@
   if (isFirst) return;
   log_.record(at, Rule::NoDuplicateEffect,
               "key " + key + " took effect twice, " + wholeMilliseconds(at - it->second) +
-                  " ms apart; repeats are dropped for " + wholeMilliseconds(deduplicationWindow));
+                  " ms apart; the deduplication window is " + wholeMilliseconds(deduplicationWindow) + " ms");
 }
 
 void OverloadAuditor::onCrash(Time at, int endpoint) {
-  log_.record(at, Rule::NoOverloadCrash, "server " + std::to_string(endpoint));
+  log_.record(at, Rule::NoOverloadCrash, "server " + std::to_string(endpoint) + " crashed from overload");
 }
 
 void OverloadAuditor::onPeakOverload(double overload) { peakOverload_ = std::max(peakOverload_, overload); }
@@ -132,14 +134,15 @@
   const auto it = requests_.find(attempt.id);
   if (it == requests_.end()) return;
   const Time sinceEnd = attempt.at - it->second.endedAt;
-  if (sinceEnd > settings_.endNotice)
-    log_.record(
-        attempt.at, Rule::NoAttemptAfterEnd,
-        "id " + attempt.id + ": an attempt began " + wholeMilliseconds(sinceEnd) + " ms after its end");
+  if (sinceEnd > settings_.requestEndTolerance)
+    log_.record(attempt.at, Rule::NoAttemptAfterEnd,
+                "id " + attempt.id + ": an attempt began " + wholeMilliseconds(sinceEnd) +
+                    " ms after the request ended");
   const Time excess = attempt.at + attempt.timeTold - it->second.deadline;
   if (excess > settings_.deadlineTolerance)
     log_.record(attempt.at, Rule::NoAttemptAfterEnd,
-                "id " + attempt.id + ": told " + wholeMilliseconds(excess) + " ms more than its client has");
+                "id " + attempt.id + ": the deadline sent with the attempt is " + wholeMilliseconds(excess) +
+                    " ms later than the client's");
 }
 
 void ResponseAuditor::onResponse(const ResponseEvent& response) {
@@ -156,9 +159,9 @@
   if (response.onTime) ++onTime_;
   if (record.result == RequestResult::Served && response.value != "v-" + record.id)
     log_.record(record.at, Rule::OneCorrectResponse,
-                "id " + record.id + " was served '" + response.value.substr(0, kMaxValueShown) + "'");
+                "id " + record.id + " was served '" + response.value.substr(0, kMaxValueBytesShown) + "'");
   if (record.result == RequestResult::Unanswered)
-    log_.record(record.at, Rule::OneCorrectResponse, "id " + record.id + ": no answer when its time was up");
+    log_.record(record.at, Rule::OneCorrectResponse, "id " + record.id + ": no response before the deadline");
   responses_.push_back(record);
 }
 
--- a/testbed/auditors.hpp
+++ b/testbed/auditors.hpp
@@ -1,5 +1,5 @@
-// The auditors: one class for each rule that a proxy must keep. Pure: events come with their times, in the
-// order in which they happened.
+// The auditors: one class for each rule that a proxy must keep. They do no I/O and read no clock; the caller
+// passes each event with its time, in chronological order.
 #pragma once
 
 #include <cstddef>
@@ -18,18 +18,20 @@
 
 /// Tolerances of the auditors.
 struct AuditSettings {
-  Time drainGrace = std::chrono::milliseconds(1050);  ///< 1 s, and 50 ms for the sockets
-  /// A proxy that closes a connection to cancel an attempt is seen to do so no later than this.
-  Time cancelNotice = std::chrono::milliseconds(20);
-  /// Between the proxy's send and the moment at which the endpoint observes it.
+  /// How long after a reported withdrawal a proxy may still send attempts to the endpoint: 1 s, plus 50 ms
+  /// for socket delays.
+  Time drainGrace = std::chrono::milliseconds(1050);
+  /// Maximum delay until an endpoint observes that the proxy closed a connection to cancel an attempt.
+  Time cancelDetectionDelay = std::chrono::milliseconds(20);
+  /// Maximum delay between the proxy's send and the time at which the endpoint observes it.
   Time stalenessTolerance = std::chrono::milliseconds(5);
-  /// An attempt may still begin so long after its request's end: 100 ms, and 50 ms for the sockets.
-  Time endNotice = std::chrono::milliseconds(150);
-  /// What an attempt is told may exceed the client's time by so much.
+  /// How long after the end of its request an attempt may still begin: 100 ms, plus 50 ms for socket delays.
+  Time requestEndTolerance = std::chrono::milliseconds(150);
+  /// Maximum amount by which the deadline sent with an attempt may exceed the client's deadline.
   Time deadlineTolerance = std::chrono::milliseconds(150);
 };
 
-/// Counts all violations and keeps the details of the first thousand.
+/// Counts all violations and keeps the descriptions of the first 1,000.
 class ViolationLog {
  public:
   void record(Time at, Rule rule, std::string description);
@@ -41,14 +43,15 @@
   std::vector<Violation> violations_;
 };
 
-/// No attempt goes to an endpoint once the grace after its reported withdrawal is over.
+/// Checks that a proxy sends no attempt to an endpoint once the grace period after the endpoint's reported
+/// withdrawal has passed.
 class DrainAuditor {
  public:
   DrainAuditor(const AuditSettings& settings, ViolationLog& log) : settings_(settings), log_(log) {}
 
-  /// The endpoint was withdrawn; the proxies have yet to be notified.
+  /// Called when an endpoint is withdrawn, before the proxies are notified.
   void onWithdrawn(Time at, int endpoint) { withdrawnAt_[endpoint] = at; }
-  /// A proxy was notified of an endpoint's state; an unchanged state is ignored.
+  /// Called when a proxy is notified of an endpoint's state. Does nothing if the state has not changed.
   void onListing(Time at, int proxy, int endpoint, bool listed);
   void onAttempt(const AttemptRecord& attempt);
 
@@ -66,7 +69,7 @@
   std::uint64_t attemptsWithinGrace_ = 0;
 };
 
-/// No read is served from data that is older than its class allows.
+/// Checks that no read is sent to an endpoint whose data is older than the request class allows.
 class StalenessAuditor {
  public:
   StalenessAuditor(const AuditSettings& settings, ViolationLog& log) : settings_(settings), log_(log) {}
@@ -77,16 +80,17 @@
   ViolationLog& log_;
 };
 
-/// No request has two attempts in flight. An attempt that is still in flight when the next one arrives may
-/// have been cancelled just now, so the verdict waits for the cancellation to be noticed.
+/// Checks that no request has two attempts in flight. An attempt that is still in flight when the next one
+/// arrives may have been cancelled immediately before, so an overlap is judged only after the endpoint has
+/// had time to observe the cancellation (AuditSettings::cancelDetectionDelay).
 class ConcurrencyAuditor {
  public:
   ConcurrencyAuditor(const AuditSettings& settings, ViolationLog& log) : settings_(settings), log_(log) {}
 
   void onAttempt(const AttemptRecord& attempt);
-  /// @return false if no such attempt was in flight.
+  /// Returns false if no attempt with this token was in flight.
   bool onAttemptEnded(std::uint64_t token);
-  /// Judges the overlaps whose time to be noticed has passed.
+  /// Judges the overlaps that are older than AuditSettings::cancelDetectionDelay.
   void judgeOverlaps(Time now);
 
  private:
@@ -108,7 +112,7 @@
   std::vector<Overlap> overlaps_;
 };
 
-/// No write with an idempotency key takes effect twice.
+/// Checks that no write with an idempotency key takes effect twice.
 class IdempotencyAuditor {
  public:
   explicit IdempotencyAuditor(ViolationLog& log) : log_(log) {}
@@ -119,7 +123,7 @@
   std::unordered_map<std::string, Time> appliedAt_;  // by key
 };
 
-/// No endpoint crashes of overload while it warms up.
+/// Checks that no endpoint crashes from overload while it warms up.
 class OverloadAuditor {
  public:
   explicit OverloadAuditor(ViolationLog& log) : log_(log) {}
@@ -132,14 +136,15 @@
   double peakOverload_ = 0;
 };
 
-/// No attempt begins once its request is over: its client has closed or cancelled, its time is up, or it has
-/// its response. No attempt is told that more time is left than its client has.
+/// Checks that no attempt begins after its request has ended: the client disconnected or cancelled, the
+/// deadline passed, or the response was received. Also checks that the deadline sent with an attempt is no
+/// later than the client's deadline.
 class RequestEndAuditor {
  public:
   RequestEndAuditor(const AuditSettings& settings, ViolationLog& log) : settings_(settings), log_(log) {}
 
   void onRequest(const std::string& id, Time deadline) { requests_[id] = {deadline, deadline}; }
-  /// The earliest end counts.
+  /// If called more than once for a request, the earliest time counts.
   void onEnd(Time at, const std::string& id);
   void onAttempt(const AttemptRecord& attempt);
   bool hadAttempt(const std::string& id) const { return attempted_.count(id) > 0; }
@@ -152,24 +157,24 @@
   const AuditSettings settings_;
   ViolationLog& log_;
   std::unordered_map<std::string, RequestTimes> requests_;  // by id
-  std::unordered_set<std::string> attempted_;               // ids
+  std::unordered_set<std::string> attempted_;               // request ids
 };
 
-/// Every request gets exactly one response, and its own value if it is served.
+/// Checks that every request gets exactly one response, and that a served request gets its own value.
 class ResponseAuditor {
  public:
   explicit ResponseAuditor(ViolationLog& log) : log_(log) {}
 
   void onRequest(Time at, const std::string& id) { pending_[id] = at; }
   void onResponse(const ResponseEvent& response);
-  /// A response that no client waited for.
+  /// Called for a response that no client was waiting for.
   void onUnexpectedResponse() { ++unexpectedResponses_; }
 
   std::size_t count(RequestResult result) const;
   std::uint64_t requests() const { return responses_.size(); }
   std::uint64_t onTime() const { return onTime_; }
   std::uint64_t unexpectedResponses() const { return unexpectedResponses_; }
-  /// The share of the priority weight of all requests that was earned; 0 without requests.
+  /// Returns the earned share of the total priority weight of all requests, or 0 if there were none.
   double earnedShare() const { return totalWeight_ > 0 ? earnedWeight_ / totalWeight_ : 0; }
   const std::vector<ResponseRecord>& responses() const { return responses_; }
 
--- a/testbed/claim.hpp
+++ b/testbed/claim.hpp
@@ -1,4 +1,4 @@
-// Claims of an experiment: what its figures must be.
+// Claims of an experiment: conditions that its figures must meet.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,9 @@
 
 enum class Relation { Equal, Less, LessOrEqual, Greater, GreaterOrEqual };
 
-/// "late_sends = 0"
+/// A condition such as "late_sends = 0".
 struct Claim {
-  std::string text;    ///< as the experiment states it
+  std::string text;    ///< as written in the experiment file
   std::string figure;  ///< a name in Figures
   Relation relation = Relation::Equal;
   double value = 0;
@@ -18,7 +18,7 @@
   bool holds(double measured) const;
 };
 
-/// Nothing if the text is not FIGURE RELATION NUMBER.
+/// Parses "FIGURE RELATION NUMBER". Returns std::nullopt if the text has another form.
 std::optional<Claim> parseClaim(const std::string& text);
 
 }  // namespace stonebay::testbed
--- a/testbed/demo.hpp
+++ b/testbed/demo.hpp
@@ -3,7 +3,7 @@
 
 namespace stonebay::testbed {
 
-/// Four endpoints, one proxy, and an endpoint that is withdrawn and published again and again.
+/// One proxy and four endpoints, one of which is withdrawn and published again every 20 s.
 constexpr const char* kDemoExperiment = R"(
 [experiment]
 title = demo
--- a/testbed/experiment.cpp
+++ b/testbed/experiment.cpp
@@ -71,13 +71,13 @@
     errors_.push_back({path_, line, std::move(where), std::move(problem), std::move(fix)});
   }
 
-  // Setters: each reads one entry's value into its target.
+  // Each setter parses the value of an entry and stores it in its target.
   template <typename Target, typename Value>
   Setter set(Target& target, ParseResult<Value> (*read)(std::string_view)) {
     return [this, &target, read](const IniEntry& entry) {
       const auto value = read(entry.value);
-      if (const ValueError* wrong = std::get_if<ValueError>(&value))
-        addError(entry.line, section_->title() + " " + entry.key, wrong->problem, wrong->fix);
+      if (const ValueError* error = std::get_if<ValueError>(&value))
+        addError(entry.line, section_->title() + " " + entry.key, error->problem, error->fix);
       else
         target = static_cast<Target>(std::get<Value>(value));
     };
@@ -94,7 +94,8 @@
     return [&target](const IniEntry& entry) { target = entry.value; };
   }
 
-  // Applies the entries of a section; keys that the table lacks go to `otherKeys`, or are errors.
+  // Applies the entries of a section. Keys without a setter are passed to `otherKeys` or, without it, are
+  // errors.
   void apply(const IniSection& section, const SetterTable& setters, const Setter& otherKeys = nullptr) {
     for (const IniEntry& entry : section.entries) {
       const auto setter = setters.find(entry.key);
@@ -119,7 +120,8 @@
                     {"discovery", setText(experiment_.discovery)},
                     {"seed", setCount(experiment_.seed)}});
     if (experiment_.proxies < 1 || experiment_.proxies > kMaxProxies)
-      addError(section.line, section.title() + " proxies", "it is out of range", "write 1 to 200");
+      addError(section.line, section.title() + " proxies", "the number of proxies is out of range",
+               "write 1 to 200");
     experiment_.fleet.proxies = experiment_.proxies;
   }
 
@@ -161,34 +163,34 @@
     }
     if (endpoint.empty())
       addError(section.line, section.title() + " server", "it is missing", "name a data server, such as s-1");
-    experiment_.direct.push_back({section.name, endpoint, load});
+    experiment_.directLoads.push_back({section.name, endpoint, load});
   }
 
   void parseClass(const IniSection& section) {
     RequestClass requestClass;
     requestClass.name = section.name;
     std::string consistency;
-    const Setter forProxies = [&requestClass](const IniEntry& entry) {
+    const Setter copyToProxySettings = [&requestClass](const IniEntry& entry) {
       requestClass.settings += entry.key + " = " + entry.value + "\n";
     };
-    const auto andForProxies = [&forProxies](const Setter& setter) {
-      return Setter([setter, forProxies](const IniEntry& entry) {
+    const auto setAndCopy = [&copyToProxySettings](const Setter& setter) {
+      return Setter([setter, copyToProxySettings](const IniEntry& entry) {
         setter(entry);
-        forProxies(entry);
+        copyToProxySettings(entry);
       });
     };
     apply(section,
           {{"share", setShare(requestClass.share)},
            {"work_least", setTime(requestClass.minWork)},
            {"work_most", setTime(requestClass.maxWork)},
-           {"data", andForProxies(setText(consistency))},
-           {"max_age", andForProxies(setTime(requestClass.maxStaleness))},
-           {"repeats_dropped_for", andForProxies(setTime(requestClass.deduplicationWindow))},
-           {"aim", andForProxies(setTime(requestClass.latencyObjective))},
-           {"give_up", andForProxies(setTime(requestClass.deadline))},
-           {"worth", andForProxies(setNumber(requestClass.priorityWeight))},
-           {"late_worth", andForProxies(setShare(requestClass.latePriorityShare))}},
-          forProxies);
+           {"data", setAndCopy(setText(consistency))},
+           {"max_age", setAndCopy(setTime(requestClass.maxStaleness))},
+           {"repeats_dropped_for", setAndCopy(setTime(requestClass.deduplicationWindow))},
+           {"aim", setAndCopy(setTime(requestClass.latencyObjective))},
+           {"give_up", setAndCopy(setTime(requestClass.deadline))},
+           {"worth", setAndCopy(setNumber(requestClass.priorityWeight))},
+           {"late_worth", setAndCopy(setShare(requestClass.latePriorityShare))}},
+          copyToProxySettings);
     requestClass.isWrite = consistency == "write";
     experiment_.classes.push_back(std::move(requestClass));
   }
@@ -197,7 +199,7 @@
     for (const IniEntry& entry : section.entries) {
       const std::size_t dot = entry.key.find('.');
       if (dot == std::string::npos)
-        addError(entry.line, section.title() + " " + entry.key, "it names no section",
+        addError(entry.line, section.title() + " " + entry.key, "the key has no section",
                  "write SECTION.KEY, such as dnssd.refresh_most");
       else
         proxySettings_[entry.key.substr(0, dot)] += entry.key.substr(dot + 1) + " = " + entry.value + "\n";
@@ -228,8 +230,8 @@
   std::vector<ConfigError>& errors_;
   const IniFile file_;
   Experiment experiment_;
-  const IniSection* section_ = nullptr;               // the one that is being parsed
-  std::map<std::string, std::string> proxySettings_;  // lines by section
+  const IniSection* section_ = nullptr;               // the section being parsed
+  std::map<std::string, std::string> proxySettings_;  // lines, by section name
 };
 
 }  // namespace
--- a/testbed/experiment.hpp
+++ b/testbed/experiment.hpp
@@ -1,4 +1,4 @@
-// An experiment as its file describes it: INI with the sections [experiment], [fleet], [load] (and
+// An experiment, as described by an INI file with the sections [experiment], [fleet], [load] (and
 // [load NAME] for clients that connect to an endpoint directly), [class NAME], [settings], [script] and
 // [claims].
 #pragma once
@@ -29,24 +29,24 @@
   Time duration = std::chrono::seconds(30);
   Time warmup = std::chrono::seconds(1);
   int proxies = 1;
-  int tierSize = 0;                 ///< proxies of the tier as the settings name it; 0: as many as there are
-  double cpuShare = 1;              ///< of a core, for each proxy
-  std::string faults;               ///< of the proxies' system calls, see syscall_shim.cpp; empty: none
+  int tierSize = 0;     ///< number of proxies written to their settings; 0 means the actual number
+  double cpuShare = 1;  ///< share of a core that each proxy may use
+  std::string faults;   ///< system call faults of the proxies, see syscall_shim.cpp; empty means none
   std::string discovery = "dnssd";  ///< or "registry"
   std::uint64_t seed = 1;
   FleetSettings fleet;
   LoadSettings load;
-  std::vector<DirectLoad> direct;
+  std::vector<DirectLoad> directLoads;
   std::vector<RequestClass> classes;
   std::string proxySettings;  ///< additional settings for the proxies, as INI
   std::vector<ScriptStep> script;
   std::vector<Claim> claims;
 };
 
-/// Appends all that is wrong with the text to `errors`; then the result must not be used.
+/// Parses an experiment. Appends all errors to `errors`; if there are any, the result must not be used.
 Experiment parseExperiment(const std::string& text, const std::string& file,
                            std::vector<ConfigError>& errors);
-/// Reads and parses a file; a file that can't be read is an error as well.
+/// Reads and parses a file. Also appends an error if the file cannot be read.
 Experiment readExperiment(const std::string& path, std::vector<ConfigError>& errors);
 
 }  // namespace stonebay::testbed
--- a/testbed/experiment_run.cpp
+++ b/testbed/experiment_run.cpp
@@ -11,18 +11,18 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr Time kStartTimeout = std::chrono::seconds(10);  // of the proxies
-constexpr Time kDrainTimeout = std::chrono::seconds(5);   // of the clients, for their last responses
+constexpr Time kStartTimeout = std::chrono::seconds(10);  // for all proxies to start
+constexpr Time kDrainTimeout = std::chrono::seconds(5);   // for the responses to requests in flight
 constexpr Time kForever = std::chrono::hours(24 * 365);
 constexpr Time kPollInterval = std::chrono::milliseconds(5);
-// Concurrent runs use ports of their own.
+// Each run derives its port range from its process id, so that concurrent runs rarely collide.
 constexpr int kMinBasePort = 10000;
 constexpr int kBasePortRange = 20000;
 constexpr int kPortsOfOneRun = 20;
 
 ProgressDisplay displayOf(const RunOptions& options) {
   if (!options.showProgress) return ProgressDisplay::None;
-  return options.runForever ? ProgressDisplay::LineASecond : ProgressDisplay::OneLine;
+  return options.runForever ? ProgressDisplay::LinePerSecond : ProgressDisplay::OneLine;
 }
 
 }  // namespace
@@ -73,14 +73,15 @@
                        [](const auto& proxy) { return proxy->hasStarted(); });
   };
   if (!waitUntil(haveAllStarted, kStartTimeout))
-    throw std::runtime_error("a proxy did not come up; see " + options_.directory + "/proxy-1.log");
+    throw std::runtime_error("a proxy did not start in time; see " + options_.directory + "/proxy-1.log");
 }
 
 void ExperimentRun::createDirectLoads() {
-  for (const DirectLoad& direct : experiment_.direct) {
+  for (const DirectLoad& direct : experiment_.directLoads) {
     const EndpointServer* const endpoint = fleet_->findByName(direct.endpoint);
     if (endpoint == nullptr)
-      throw std::runtime_error("[load " + direct.name + "] server: there is no " + direct.endpoint);
+      throw std::runtime_error("[load " + direct.name + "] server: unknown data server '" + direct.endpoint +
+                               "'");
     LoadSettings load = direct.settings;
     load.groups = 1;
     if (load.valueBytes == 0) load.valueBytes = experiment_.fleet.valueBytes;
@@ -90,7 +91,7 @@
   }
 }
 
-// False: the timeout passed first.
+// Runs the event loop until `isDone` returns true. Returns false if the timeout expires first.
 bool ExperimentRun::waitUntil(const std::function<bool()>& isDone, Time timeout) {
   const Time end = context_.now() + timeout;
   Timer poll(context_, [] {});
@@ -159,11 +160,11 @@
   for (const auto& proxy : proxies_) {
     measurements.listBytes += proxy->discovery().listBytes();
     measurements.totalCpuSeconds += proxy->totalCpuSeconds();
-    measurements.peakMemoryMb = std::max(measurements.peakMemoryMb, proxy->peakResidentMb());
+    measurements.lifetimePeakMb = std::max(measurements.lifetimePeakMb, proxy->peakResidentMb());
   }
   for (const auto& endpoint : fleet_->endpoints()) measurements.connections += endpoint->acceptedByProxies();
   for (const RunSample& sample : sampler_.samples()) {
-    measurements.peakResidentMb = std::max(measurements.peakResidentMb, sample.residentMb);
+    measurements.peakSampledResidentMb = std::max(measurements.peakSampledResidentMb, sample.residentMb);
     measurements.peakDescriptors = std::max(measurements.peakDescriptors, sample.descriptors);
   }
   return measurements;
--- a/testbed/experiment_run.hpp
+++ b/testbed/experiment_run.hpp
@@ -1,4 +1,5 @@
-// One run of an experiment: stand-ins, real proxies, clients, the script, and what came of it.
+// One run of an experiment: starts the stand-ins, the real proxies and the clients, executes the script and
+// collects the result.
 #pragma once
 
 #include <event2/event.h>
@@ -23,10 +24,11 @@
 namespace stonebay::testbed {
 
 struct RunOptions {
-  std::string program;    ///< the proxy's
+  std::string program;    ///< path of the proxy's executable
   std::string directory;  ///< for settings and logs
   bool showProgress = false;
-  bool runForever = false;  ///< until `stop` is called; shows the progress as one line a second
+  /// Run until stop() is called, and show the progress as one line a second.
+  bool runForever = false;
 };
 
 class ExperimentRun {
@@ -35,9 +37,9 @@
   ExperimentRun(const ExperimentRun&) = delete;
   ExperimentRun& operator=(const ExperimentRun&) = delete;
 
-  /// May be called once. Throws std::runtime_error if a stand-in or a proxy does not start.
+  /// Must be called only once. Throws std::runtime_error if a stand-in or a proxy does not start.
   ExperimentResult run();
-  /// Ends the load; to be called from the event loop.
+  /// Ends the load. Must be called from the event loop.
   void stop() { isStopped_ = true; }
   event_base* eventBase() const { return context_.eventBase(); }
   const RunAudit& audit() const { return audit_; }
--- a/testbed/fault_injection.cpp
+++ b/testbed/fault_injection.cpp
@@ -1,6 +1,6 @@
-// Runs a proxy that breaks one rule on purpose, so that each auditor is seen to find its violations. It is
-// started like the real one; the environment variable STONEBAY_FAULT names the fault, see faultNamed. A
-// thread serves each client.
+// Runs a proxy that breaks one rule on purpose, to test that each auditor finds the violations of its rule.
+// It is started with the arguments of the real proxy. The environment variable STONEBAY_FAULT selects the
+// fault; see faultNamed(). Each client is served by its own thread.
 #include <sys/socket.h>
 
 #include <csignal>
@@ -44,7 +44,7 @@
   return settings;
 }
 
-Fault faultOfEnvironment() {
+Fault faultFromEnvironment() {
   const char* const name = std::getenv("STONEBAY_FAULT");
   return faultNamed(name != nullptr ? name : "");
 }
@@ -53,7 +53,7 @@
   const Settings settings = readSettings(settingsPath);
   const auto service = dns::parseName("_postgresql._tcp." + settings.domain);
   if (!service) return 1;
-  FaultyProxy proxy(faultOfEnvironment(), parseAddress(settings.nameServers), *service);
+  FaultyProxy proxy(faultFromEnvironment(), parseAddress(settings.nameServers), *service);
   proxy.updateEndpoints();
   const UniqueFd listener = listenOnLoopback();
   if (!listener.isOpen()) return 1;
@@ -69,7 +69,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc < 4) return 2;  // serve --config FILE
+  if (argc < 4) return 2;  // the arguments are: serve --config FILE
   signal(SIGPIPE, SIG_IGN);
   try {
     return serve(argv[3]);
--- a/testbed/faulty_proxy.cpp
+++ b/testbed/faulty_proxy.cpp
@@ -15,14 +15,15 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr std::size_t kLengthBytes = 4;  // of a PostgreSQL message
-constexpr std::size_t kHeaderBytes = 5;  // type and length
+constexpr std::size_t kLengthBytes = 4;  // length field of a PostgreSQL message
+constexpr std::size_t kHeaderBytes = 5;  // type and length field
 constexpr int kResponseTimeoutMs = 3000;
 constexpr auto kPollInterval = std::chrono::milliseconds(200);
-constexpr auto kRepeatDelay = std::chrono::milliseconds(700);  // after the deduplication window
-constexpr unsigned kLossInterval = 10;
+// Longer than the deduplication window of the test.
+constexpr auto kRepeatDelay = std::chrono::milliseconds(700);
+constexpr unsigned kLossInterval = 10;  // requests; the last of each interval is not answered
 
-// Reads up to and including ReadyForQuery.
+// Reads up to and including ReadyForQuery. Returns false on a timeout or if the connection closes.
 bool receiveUntilReady(int fd, std::string& input) {
   std::size_t messageAt = 0;
   for (;;) {
@@ -37,7 +38,7 @@
   }
 }
 
-// The response with its ReadyForQuery; empty if there is none.
+// Returns the response including its ReadyForQuery message, or an empty string if there is none.
 std::string attempt(const DiscoveredEndpoint& endpoint, const std::string& statement) {
   const UniqueFd fd = connectTo(endpoint.address);
   if (!fd.isOpen()) return "";
@@ -51,7 +52,7 @@
 
 std::string rejection() { return pg::errorResponse("ERROR", "53300", "none") + pg::readyForQuery(); }
 
-// Takes a message of `size` bytes, if it is complete.
+// Removes a message of `size` bytes from `input` and returns it, or std::nullopt if it is incomplete.
 std::optional<std::string> takeMessage(std::string& input, std::size_t size) {
   if (input.size() < size) return std::nullopt;
   std::string message = input.substr(0, size);
@@ -104,7 +105,7 @@
   return endpoints_.ofGroup(std::to_string(group));
 }
 
-// Empty: no response.
+// Returns an empty string if the request gets no response.
 std::string FaultyProxy::respond(const std::string& statement) {
   const std::vector<DiscoveredEndpoint> endpoints = endpointsFor(statement);
   if (endpoints.empty()) return rejection();
@@ -114,7 +115,7 @@
   return isWrite ? respondToWrite(endpoints, statement) : respondToRead(endpoints, statement, request);
 }
 
-// Tries one endpoint after another until it finds the primary.
+// Tries the endpoints in turn until one accepts the write.
 std::string FaultyProxy::respondToWrite(const std::vector<DiscoveredEndpoint>& endpoints,
                                         const std::string& statement) const {
   for (const DiscoveredEndpoint& endpoint : endpoints) {
@@ -161,7 +162,7 @@
       continue;
     }
     if (message->front() != 'Q') return;
-    // Without the header and the NUL that ends the statement.
+    // The statement is the message without its header and the terminating NUL.
     std::string response = respond(message->substr(kHeaderBytes, message->size() - kHeaderBytes - 1));
     if (fault_ == Fault::ExtraResponse) response += response;
     if (!response.empty() && !sendAll(client.get(), response)) return;
--- a/testbed/faulty_proxy.hpp
+++ b/testbed/faulty_proxy.hpp
@@ -15,30 +15,31 @@
 
 enum class Fault {
   None,
-  LateAttempt,    ///< goes on sending to endpoints that were withdrawn
-  Hedging,        ///< sends each read to two endpoints at once
+  LateAttempt,    ///< keeps sending to endpoints that were withdrawn
+  Hedging,        ///< sends each read to two endpoints concurrently
   Loss,           ///< never answers one request in ten
   WrongValue,     ///< answers with a value that no endpoint returned
-  StaleRead,      ///< sends reads to replicas however far they lag
+  StaleRead,      ///< sends reads to replicas regardless of their replication lag
   Overload,       ///< sends all reads to the endpoint that was listed last
   RepeatedWrite,  ///< sends each write again after its idempotency key has expired
   ExtraResponse   ///< answers twice
 };
 
-/// "late", "copies", "lose", "swap", "stale", "flood", "twice" or "extra"; None for any other name.
+/// Returns the fault with the name "late", "copies", "lose", "swap", "stale", "flood", "twice" or "extra", in
+/// the order of the enumerators. Returns Fault::None for any other name.
 Fault faultNamed(const std::string& name);
 
-/// Except for its fault it serves as simply as possible: a connection for each request, no retries of reads,
-/// no limits. Its functions may be called from several threads.
+/// Apart from its fault, serves requests in the simplest way: one connection for each request, no retries of
+/// reads, no limits. Thread-safe.
 class FaultyProxy {
  public:
   FaultyProxy(Fault fault, const sockaddr_in& nameServer, dns::Name service);
 
   /// Polls discovery once.
   void updateEndpoints();
-  /// Polls discovery again and again; never returns.
+  /// Polls discovery periodically. Never returns.
   [[noreturn]] void pollDiscovery();
-  /// Serves a client until its connection ends.
+  /// Serves a client until its connection closes.
   void serveClient(const UniqueFd& client);
 
  private:
--- a/testbed/figures.hpp
+++ b/testbed/figures.hpp
@@ -6,7 +6,7 @@
 
 namespace stonebay::testbed {
 
-/// What a run measured and what its auditors counted, by the names that claims and reports use.
+/// The measurements of a run and the counts of its auditors, by the names that claims and reports use.
 using Figures = std::map<std::string, double>;
 
 }  // namespace stonebay::testbed
--- a/testbed/growth.cpp
+++ b/testbed/growth.cpp
@@ -12,11 +12,11 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr int kMembers = 5;
-constexpr int kSizes[] = {200, 800, 3200};  // endpoints; the first is the usual size
+constexpr int kEndpointsPerGroup = 5;
+constexpr int kFleetSizes[] = {200, 800, 3200};  // endpoints; the first is the baseline
 
-// The rate of one proxy of hundreds.
-constexpr const char* kDay = R"(
+// The load is that of one proxy in a tier of hundreds.
+constexpr const char* kGrowthExperiment = R"(
 [experiment]
 title = growth
 discovery = registry
@@ -57,8 +57,9 @@
 16s proxy 1 hup
 )";
 
-// What is allowed at some number of endpoints: factor x the usual size's figure, plus a constant, plus a part
-// for each thousand endpoints. The table of the operators' standing page.
+// The largest value of a figure that is allowed with a given number of endpoints: factor * the figure at the
+// baseline size + constant + perThousand for each 1,000 endpoints. The values are those of the table in
+// docs/operators/growth.md.
 struct Bound {
   const char* figure;
   double factor;
@@ -75,11 +76,11 @@
 constexpr double kMinServedRatio = 0.85;
 constexpr double kThousand = 1000;
 
-Figures play(int endpoints, const GrowthOptions& options) {
+Figures runWithEndpoints(int endpoints, const GrowthOptions& options) {
   std::vector<ConfigError> errors;
-  Experiment experiment = parseExperiment(kDay, "growth", errors);
+  Experiment experiment = parseExperiment(kGrowthExperiment, "growth", errors);
   if (!errors.empty()) throw std::runtime_error(errors.front().text());
-  experiment.fleet.groups = endpoints / kMembers;
+  experiment.fleet.groups = endpoints / kEndpointsPerGroup;
   RunOptions run;
   run.program = options.program;
   run.directory = options.directory + "/" + std::to_string(endpoints);
@@ -87,55 +88,61 @@
   return ExperimentRun(experiment, run).run().figures;
 }
 
-// Judges one run against that of the usual size.
-class GrowthJudge {
+// Checks the figures of one run against the bounds, which depend on the figures at the baseline size.
+class GrowthChecker {
  public:
-  GrowthJudge(const GrowthOptions& options, int endpoints, Figures usual, Figures figures)
-      : options_(options), endpoints_(endpoints), usual_(std::move(usual)), figures_(std::move(figures)) {}
+  GrowthChecker(const GrowthOptions& options, int endpoints, Figures baseline, Figures figures)
+      : options_(options),
+        endpoints_(endpoints),
+        baseline_(std::move(baseline)),
+        figures_(std::move(figures)) {}
 
-  bool judge() {
+  // Prints each selected figure with its bound. Returns whether all of them are within bounds.
+  bool check() {
     for (const Bound& bound : kBounds) {
-      const double limit =
-          bound.factor * usual_[bound.figure] + bound.constant + bound.perThousand * endpoints_ / kThousand;
-      report(bound.figure, limit, figures_[bound.figure] <= limit);
+      const double limit = bound.factor * baseline_[bound.figure] + bound.constant +
+                           bound.perThousand * endpoints_ / kThousand;
+      checkFigure(bound.figure, limit, figures_[bound.figure] <= limit);
     }
-    const double minServed = kMinServedRatio * usual_["served_share"];
-    report("served_share", minServed, figures_["served_share"] >= minServed);
-    report("lost", 0, figures_["lost"] == 0);
-    return allHold_;
+    const double minServed = kMinServedRatio * baseline_["served_share"];
+    checkFigure("served_share", minServed, figures_["served_share"] >= minServed);
+    checkFigure("lost", 0, figures_["lost"] == 0);
+    return allWithinBounds_;
   }
 
  private:
-  bool isJudged(const std::string& figure) const {
+  bool isSelected(const std::string& figure) const {
     return options_.only.empty() ? figure != options_.except : figure == options_.only;
   }
 
-  void report(const std::string& figure, double bound, bool holds) {
-    if (!isJudged(figure)) return;
-    std::printf("%-7s %-18s %5d endpoints: %.4g, bound %.4g\n", holds ? "held" : "BROKEN", figure.c_str(),
-                endpoints_, figures_[figure], bound);
-    allHold_ = allHold_ && holds;
+  void checkFigure(const std::string& figure, double bound, bool isWithinBound) {
+    if (!isSelected(figure)) return;
+    std::printf("%-7s %-18s %5d endpoints: %.4g, bound %.4g\n", isWithinBound ? "held" : "BROKEN",
+                figure.c_str(), endpoints_, figures_[figure], bound);
+    allWithinBounds_ = allWithinBounds_ && isWithinBound;
   }
 
   const GrowthOptions& options_;
   const int endpoints_;
-  Figures usual_;
+  Figures baseline_;
   Figures figures_;
-  bool allHold_ = true;
+  bool allWithinBounds_ = true;
 };
 
 }  // namespace
 
 bool measureGrowth(const GrowthOptions& options) {
-  Figures usual;
-  bool allHold = true;
-  for (const int endpoints : kSizes) {
-    if (options.onlyEnds && endpoints != kSizes[0] && endpoints != kSizes[std::size(kSizes) - 1]) continue;
-    const Figures figures = play(endpoints, options);
-    if (usual.empty()) usual = figures;
-    allHold = GrowthJudge(options, endpoints, usual, figures).judge() && allHold;
+  Figures baseline;
+  bool allWithinBounds = true;
+  for (const int endpoints : kFleetSizes) {
+    if (options.onlySmallestAndLargest && endpoints != kFleetSizes[0] &&
+        endpoints != kFleetSizes[std::size(kFleetSizes) - 1])
+      continue;
+    const Figures figures = runWithEndpoints(endpoints, options);
+    if (baseline.empty()) baseline = figures;
+    allWithinBounds = GrowthChecker(options, endpoints, baseline, figures).check() && allWithinBounds;
   }
-  return allHold;
+  return allWithinBounds;
 }
 
 }  // namespace stonebay::testbed
--- a/testbed/load_generator.cpp
+++ b/testbed/load_generator.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr std::size_t kMaxIdleConnections = 40;
-constexpr double kMinRate = 0.1;  // keeps the pause between arrivals finite
+constexpr double kMinArrivalRate = 0.1;  // requests a second; avoids an infinite interval at a rate of 0
 constexpr Time kMaxRetryJitter = std::chrono::milliseconds(20);
 constexpr Time kMinShortDeadline = std::chrono::milliseconds(5);
 constexpr Time kMaxShortDeadline = std::chrono::milliseconds(80);
-constexpr std::uint64_t kHandles = 1000;  // rows that the statements name
+constexpr std::uint64_t kRowHandleCount = 1000;  // distinct rows used in statements
 
 }  // namespace
 
@@ -34,12 +34,12 @@
 void LoadGenerator::onArrival() {
   if (!running_) return;
   if (settings_.closedLoop) return sendAttempt(newRequest());
-  // The schedule is independent of the timer: a timer that fires late must not lower the rate.
+  // Arrival times do not depend on when the timer fires, so a late timer does not lower the rate.
   const Time now = context_.now();
   if (nextArrivalAt_ == Time(0)) nextArrivalAt_ = now;
   while (nextArrivalAt_ <= now) {
     if (settings_.rate > 0) sendAttempt(newRequest());
-    std::exponential_distribution<> secondsBetweenArrivals(std::max(settings_.rate, kMinRate));
+    std::exponential_distribution<> secondsBetweenArrivals(std::max(settings_.rate, kMinArrivalRate));
     nextArrivalAt_ += fromMicroseconds(secondsBetweenArrivals(context_.random()) * 1e6);
   }
   arrival_.startIn(nextArrivalAt_ - now);
@@ -66,11 +66,11 @@
   const bool isShort = settings_.shortShare > 0 && context_.uniform(0.0, 1.0) < settings_.shortShare;
   if (isShort)
     request.deadline = request.firstAttemptAt + context_.uniform(kMinShortDeadline, kMaxShortDeadline);
-  drawLeave(request);
+  drawLeaveTime(request);
   return request;
 }
 
-void LoadGenerator::drawLeave(ClientRequest& request) {
+void LoadGenerator::drawLeaveTime(ClientRequest& request) {
   const double share = settings_.leaveShare + settings_.cancelShare;
   if (share <= 0) return;
   const double drawn = context_.uniform(0.0, 1.0);
@@ -80,7 +80,7 @@
       request.firstAttemptAt + context_.uniform(Time(0), (request.deadline - request.firstAttemptAt) / 2);
 }
 
-// Every attempt has an id of its own and carries what is left of the deadline.
+// Gives the request a new id and a statement with the time left until its deadline.
 void LoadGenerator::prepareAttempt(ClientRequest& request, Time now) {
   request.id = idPrefix_ + std::to_string(++attempts_);
   request.attemptAt = now;
@@ -93,7 +93,7 @@
       " /* id=" + request.id + ",c=" + request.requestClass->name + ",d=" + std::to_string(remainingMs);
   if (!request.idempotencyKey.empty()) comment += ",k=" + request.idempotencyKey;
   comment += ",cluster=" + std::to_string(request.group) + " */";
-  const std::string handle = "'h" + std::to_string(attempts_ % kHandles) + "'";
+  const std::string handle = "'h" + std::to_string(attempts_ % kRowHandleCount) + "'";
   if (!request.requestClass->isWrite) return "SELECT blob FROM rows WHERE handle = " + handle + comment;
   return "INSERT INTO rows (handle, blob) VALUES (" + handle + ", '" +
          std::string(settings_.valueBytes, 'x') + "') RETURNING blob" + comment;
@@ -134,7 +134,7 @@
   finish(request, response);
 }
 
-// A client that cancels keeps its connection for the answer.
+// A client that cancels keeps its connection open for the response.
 void LoadGenerator::onLeave(ClientConnection& connection, const ClientRequest& request) {
   audit_.onClientLeft(context_.now(), request.id);
   if (request.cancels) return;
@@ -146,7 +146,7 @@
   remove(connection);
   const bool isExcused = request && excusedFrom_ && request->attemptAt >= *excusedFrom_;
   if (request) audit_.onClosedUnanswered(context_.now(), request->id, isExcused);
-  // A connection that ends without a response is a failure that the client notices.
+  // A connection that closes without a response counts as a failed request.
   if (request) finish(*request, ClientResponse());
 }
 
@@ -180,10 +180,10 @@
   ResponseEvent event;
   event.record = {now, now - request.firstAttemptAt, request.id, response.result};
   event.value = response.value;
-  // The endpoints fill values up to their length with dots.
+  // The endpoints pad values with dots up to the configured length.
   if (settings_.valueBytes > 0) event.value = event.value.substr(0, event.value.find('.'));
   event.onTime = isServed && event.record.latency <= request.requestClass->latencyObjective;
-  // The weight of a request counts once, with its last attempt.
+  // The weight of a request counts only once, for its last attempt.
   event.priorityWeight = isRetried ? 0 : request.requestClass->priorityWeight;
   if (isServed)
     event.earnedWeight =
--- a/testbed/load_generator.hpp
+++ b/testbed/load_generator.hpp
@@ -1,4 +1,4 @@
-// The clients of one proxy.
+// Generates the load on one proxy, or directly on one endpoint.
 #pragma once
 
 #include <netinet/in.h>
@@ -21,36 +21,39 @@
 namespace stonebay::testbed {
 
 struct LoadSettings {
-  double rate = 60;         ///< new requests a second; retries come on top
-  int retries = 0;          ///< after a rejection, not before its Retry-After has passed
-  bool closedLoop = false;  ///< one connection, which sends the next request once it has a response
+  double rate = 60;         ///< new requests a second, not counting retries
+  int retries = 0;          ///< maximum retries of a rejected request, each after the response's Retry-After
+  bool closedLoop = false;  ///< use one connection that sends the next request after each response
   std::size_t valueBytes = 0;
   int groups = 2;
-  double leaveShare = 0;   ///< of requests: the client closes its connection before the response
-  double cancelShare = 0;  ///< of requests: the client cancels
-  double shortShare = 0;   ///< of requests: the client waits for a small part of the class's deadline only
-  Time answerGrace = std::chrono::milliseconds(70);  ///< how long after its deadline a response still counts
+  double leaveShare = 0;   ///< share of requests whose client disconnects before the response
+  double cancelShare = 0;  ///< share of requests that the client cancels
+  double shortShare = 0;   ///< share of requests with a deadline of 5 to 80 ms instead of the class's
+  /// How long after its deadline a request still accepts a response.
+  Time answerGrace = std::chrono::milliseconds(70);
 };
 
-/// Open-loop load: arrivals are a Poisson process that does not wait for responses; each request has a
-/// deadline, and is retried after rejections. Or a closed loop over one connection.
+/// Generates open-loop load, in which arrivals are a Poisson process that does not wait for responses, or
+/// closed-loop load over one connection (LoadSettings::closedLoop). Each request has a deadline and is
+/// retried after a rejection.
 class LoadGenerator : public ClientConnectionHandler {
  public:
-  /// `idPrefix` starts every request id and idempotency key; it must be unique within the run.
+  /// `idPrefix` is prepended to every request id and idempotency key and must be unique within the run.
   LoadGenerator(RunContext& context, RunAudit& audit, const std::vector<RequestClass>& classes,
                 const LoadSettings& settings, std::string idPrefix);
 
   void setTarget(const sockaddr_in& target) { target_ = target; }
   void setRate(double rate) { settings_.rate = rate; }
-  /// Until it has started again, requests that were sent at this time or later are excused.
+  /// Called when the proxy is killed. Until onProxyStarted() is called, a closed connection does not count as
+  /// a violation for requests that were sent at `excusedFrom` or later.
   void onProxyKilled(Time excusedFrom) { excusedFrom_ = excusedFrom; }
   void onProxyStarted() { excusedFrom_.reset(); }
   void start();
-  /// No new requests; those in flight and their retries go on.
+  /// Stops sending new requests. Requests in flight and their retries continue.
   void stop() { running_ = false; }
 
   std::size_t inFlight() const { return inFlight_; }
-  /// Milliseconds from the last attempt to the response, of all served requests.
+  /// Returns the time from the last attempt to the response of each served request, in milliseconds.
   const std::vector<double>& latencies() const { return latencies_; }
 
  private:
@@ -65,7 +68,7 @@
   void onRetryDue();
   ClientRequest newRequest();
   const RequestClass& drawClass();
-  void drawLeave(ClientRequest& request);
+  void drawLeaveTime(ClientRequest& request);
   void prepareAttempt(ClientRequest& request, Time now);
   std::string statementOf(const ClientRequest& request, Time now) const;
   void sendAttempt(ClientRequest request);
@@ -84,12 +87,12 @@
   Timer retry_;
   Time nextArrivalAt_{};
   bool running_ = false;
-  std::optional<Time> excusedFrom_;  // while the proxy is killed
+  std::optional<Time> excusedFrom_;  // set from the proxy's kill until its next start
   std::size_t inFlight_ = 0;
   std::uint64_t attempts_ = 0;
   std::list<std::unique_ptr<ClientConnection>> connections_;
   std::vector<ClientConnection*> idle_;
-  std::multimap<Time, ClientRequest> retries_;  // by the time at which they are due
+  std::multimap<Time, ClientRequest> retries_;  // by due time
   std::vector<double> latencies_;
 };
 
--- a/testbed/main.cpp
+++ b/testbed/main.cpp
@@ -1,4 +1,4 @@
-// stonebay-testbed: experiments with real proxies and stand-ins for all else.
+// stonebay-testbed: runs experiments with real proxies and stand-ins for all other components.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -35,10 +35,10 @@
   std::optional<std::uint64_t> seed;
 };
 
-// The proxy stands beside this program, or is found by PATH.
+// Returns the proxy executable in the directory of this program, or its bare name, to be found in PATH.
 std::string findProxy(const char* self) {
-  const fs::path beside = fs::path(self).parent_path() / "stonebay";
-  return fs::exists(beside) ? beside.string() : "stonebay";
+  const fs::path sibling = fs::path(self).parent_path() / "stonebay";
+  return fs::exists(sibling) ? sibling.string() : "stonebay";
 }
 
 int printErrors(const std::vector<ConfigError>& errors) {
@@ -46,7 +46,7 @@
   return 1;
 }
 
-// All clients and endpoints run in this process and need a descriptor for each connection.
+// All clients and endpoints run in this process, and each of their connections needs a descriptor.
 void raiseDescriptorLimit() {
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
@@ -124,7 +124,7 @@
   return broken == 0 ? 0 : 1;
 }
 
-int runOrDemo(const Arguments& arguments, bool isDemo) {
+int runFileOrDemo(const Arguments& arguments, bool isDemo) {
   std::vector<ConfigError> errors;
   Experiment experiment = isDemo ? parseExperiment(kDemoExperiment, "demo", errors)
                                  : readExperiment(arguments.experimentFile, errors);
@@ -139,51 +139,58 @@
   return measureGrowth(options) ? 0 : 1;
 }
 
-int runSoakDay(std::uint64_t seed, const Arguments& arguments, bool onlyPrint) {
-  const std::string day = drawSoakDay(seed);
-  if (onlyPrint) return std::fputs(day.c_str(), stdout) < 0 ? 1 : 0;
+int runSoak(std::uint64_t seed, const Arguments& arguments, bool printOnly) {
+  const std::string experimentText = generateSoakExperiment(seed);
+  if (printOnly) return std::fputs(experimentText.c_str(), stdout) < 0 ? 1 : 0;
   std::vector<ConfigError> errors;
-  const Experiment experiment = parseExperiment(day, "soak-" + std::to_string(seed), errors);
+  const Experiment experiment = parseExperiment(experimentText, "soak-" + std::to_string(seed), errors);
   if (!errors.empty()) return printErrors(errors);
   return runExperiment(experiment, arguments, false);
 }
 
 int runProgram(int argc, char** argv) {
-  CLI::App app{"stonebay-testbed: experiments with real proxies and stand-ins for all else",
+  CLI::App app{"stonebay-testbed: runs experiments with real proxies and stand-ins for all other components",
                "stonebay-testbed"};
   app.require_subcommand(1);
   Arguments arguments;
   arguments.proxyProgram = findProxy(argv[0]);
   std::int64_t seed = -1;
-  CLI::App* const run = app.add_subcommand("run", "play an experiment; exit 1 if a claim is broken");
-  run->add_option("FILE", arguments.experimentFile, "experiment (INI)")->required();
-  run->add_option("--out", arguments.outputDirectory, "folder for tables and charts");
-  run->add_option("--seed", seed, "in place of the file's");
-  run->add_option("--proxy", arguments.proxyProgram, "the proxy's program")->capture_default_str();
+  CLI::App* const run =
+      app.add_subcommand("run", "run an experiment; exits with status 1 if a claim is broken");
+  run->add_option("FILE", arguments.experimentFile, "experiment file (INI)")->required();
+  run->add_option("--out", arguments.outputDirectory, "output directory for tables and charts");
+  run->add_option("--seed", seed, "seed to use instead of the one in the file");
+  run->add_option("--proxy", arguments.proxyProgram, "path of the proxy executable")->capture_default_str();
   CLI::App* const list = app.add_subcommand("list", "list the experiments");
-  list->add_option("--dir", arguments.experimentDirectory, "where they are")->capture_default_str();
-  CLI::App* const demo = app.add_subcommand("demo", "a few servers, a proxy, clients; Ctrl-C ends it");
-  demo->add_option("--proxy", arguments.proxyProgram, "the proxy's program")->capture_default_str();
-  CLI::App* const growth = app.add_subcommand(
-      "growth", "measure how a proxy's needs grow with the endpoints; exit 1 over a bound");
-  growth->add_option("--proxy", arguments.proxyProgram, "the proxy's program")->capture_default_str();
-  growth->add_option("--out", arguments.outputDirectory, "folder for settings and logs");
+  list->add_option("--dir", arguments.experimentDirectory, "directory of the experiment files")
+      ->capture_default_str();
+  CLI::App* const demo =
+      app.add_subcommand("demo", "run a few servers, a proxy and clients until interrupted (Ctrl-C)");
+  demo->add_option("--proxy", arguments.proxyProgram, "path of the proxy executable")->capture_default_str();
+  CLI::App* const growth = app.add_subcommand("growth",
+                                              "measure how a proxy's resource usage grows with the number of "
+                                              "endpoints; exits with status 1 if a figure exceeds its bound");
+  growth->add_option("--proxy", arguments.proxyProgram, "path of the proxy executable")
+      ->capture_default_str();
+  growth->add_option("--out", arguments.outputDirectory, "output directory for settings and logs");
   GrowthOptions growthOptions;
-  growth->add_flag("--ends", growthOptions.onlyEnds, "the smallest and the largest size alone");
-  growth->add_option("--only", growthOptions.only, "judge this figure alone");
-  growth->add_option("--except", growthOptions.except, "do not judge this figure");
-  CLI::App* const soak = app.add_subcommand("soak", "play the day of a seed; exit 1 if a rule is broken");
-  soak->add_option("--seed", seed, "of the day")->required();
-  soak->add_option("--proxy", arguments.proxyProgram, "the proxy's program")->capture_default_str();
-  soak->add_option("--out", arguments.outputDirectory, "folder for tables and charts");
-  bool printDay = false;
-  soak->add_flag("--print", printDay, "print the day instead, as an experiment's file");
+  growth->add_flag("--ends", growthOptions.onlySmallestAndLargest,
+                   "run only the smallest and the largest number of endpoints");
+  growth->add_option("--only", growthOptions.only, "check only this figure");
+  growth->add_option("--except", growthOptions.except, "do not check this figure");
+  CLI::App* const soak = app.add_subcommand(
+      "soak", "run the random experiment of a seed; exits with status 1 if a rule is broken");
+  soak->add_option("--seed", seed, "seed of the experiment")->required();
+  soak->add_option("--proxy", arguments.proxyProgram, "path of the proxy executable")->capture_default_str();
+  soak->add_option("--out", arguments.outputDirectory, "output directory for tables and charts");
+  bool printOnly = false;
+  soak->add_flag("--print", printOnly, "print the experiment as a file instead of running it");
   CLI11_PARSE(app, argc, argv);
   if (seed >= 0) arguments.seed = static_cast<std::uint64_t>(seed);
   if (list->parsed()) return listExperiments(arguments.experimentDirectory);
   if (growth->parsed()) return runGrowth(arguments, growthOptions);
-  if (soak->parsed()) return runSoakDay(static_cast<std::uint64_t>(seed), arguments, printDay);
-  return runOrDemo(arguments, demo->parsed());
+  if (soak->parsed()) return runSoak(static_cast<std::uint64_t>(seed), arguments, printOnly);
+  return runFileOrDemo(arguments, demo->parsed());
 }
 
 }  // namespace
--- a/testbed/quantiles.hpp
+++ b/testbed/quantiles.hpp
@@ -1,4 +1,5 @@
-// Quantiles of measured values, by prometheus-cpp's summary (Cormode, Korn, Muthukrishnan, Srivastava 2005).
+// Quantiles of measured values, computed by prometheus-cpp's summary (algorithm of Cormode, Korn,
+// Muthukrishnan, Srivastava 2005).
 #pragma once
 
 #include <prometheus/summary.h>
@@ -18,7 +19,8 @@
   }
   std::size_t count() const { return count_; }
   double max() const { return max_; }
-  /// The quantile 0.5, 0.9 or 0.99; 0 if nothing was measured.
+  /// Returns the given quantile, which must be 0.5, 0.9 or 0.99. Returns 0 for any other, or if there are no
+  /// values.
   double at(double quantile) const {
     if (count_ == 0) return 0;
     for (const auto& entry : summary_.Collect().summary.quantile)
--- a/testbed/report.cpp
+++ b/testbed/report.cpp
@@ -51,7 +51,7 @@
 }
 
 std::string chartLinks(bool hasCharts) {
-  if (!hasCharts) return "\nThere is no gnuplot here, so there are no charts.\n";
+  if (!hasCharts) return "\nThere are no charts because gnuplot is missing or failed.\n";
   return "\n![latency](latency.svg)\n\n![sends](sends.svg)\n\n![membership](membership.svg)\n";
 }
 
--- a/testbed/report.hpp
+++ b/testbed/report.hpp
@@ -1,4 +1,4 @@
-// What a run leaves behind: CSV files, a Markdown page, and SVG charts by gnuplot.
+// Writes the report of a run: CSV files, a Markdown page, and SVG charts drawn by gnuplot.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace stonebay::testbed {
 
-/// Writes all files to a directory. Without gnuplot there are no charts, and the page says so.
+/// Writes all files to a directory. If the charts cannot be drawn, the page says so.
 void writeReport(const std::string& directory, const Experiment& experiment, const ExperimentResult& result,
                  const RunAudit& audit);
 
--- a/testbed/report_charts.cpp
+++ b/testbed/report_charts.cpp
@@ -15,7 +15,7 @@
       << "set datafile separator ','\nset terminal svg size 900,360 dynamic background 'white' font "
          "'sans,11'\n"
          "set grid\nset key outside\nset xlabel 'seconds'\n"
-         "set output 'latency.svg'\nset title 'Latency of what was served, by second'\nset ylabel 'ms'\n"
+         "set output 'latency.svg'\nset title 'Latency of served requests, by second'\nset ylabel 'ms'\n"
          "set y2label 'not served'\nset y2tics\nset y2range [0:*]\nset yrange [0:*]\n"
          "plot 'latency_by_second.csv' every ::1 using 1:4 with lines lw 2 lc rgb '#3060a0' title 'median', "
          "'' every ::1 using 1:5 with lines lw 2 lc rgb '#d08020' title '99%', "
@@ -24,7 +24,8 @@
          "set ylabel 'sends a second'\nplot for [k=2:"
       << std::min(endpoints, kMaxEndpointsShown) + 1
       << "] 'sends_by_second.csv' every ::1 using 1:k with lines lw 1.5 title 'server '.(k-1)\n"
-         "set output 'membership.svg'\nset title 'What the proxies were told'\nset ylabel 'server'\nset "
+         "set output 'membership.svg'\nset title 'Endpoint states reported to the proxies'\nset ylabel "
+         "'server'\nset "
          "yrange "
          "[*:*]\n"
          "plot 'membership.csv' every ::1 using 1:($4==1 ? $3+$2*0.1 : 1/0) with points pt 9 ps 0.5 lc rgb "
--- a/testbed/report_charts.hpp
+++ b/testbed/report_charts.hpp
@@ -6,7 +6,7 @@
 namespace stonebay::testbed {
 
 /// Draws latency.svg, sends.svg and membership.svg from the tables in the directory.
-/// @return false if gnuplot is missing or fails
+/// Returns false if gnuplot is missing or fails.
 bool drawCharts(const std::string& directory, int endpoints);
 
 }  // namespace stonebay::testbed
--- a/testbed/report_tables.cpp
+++ b/testbed/report_tables.cpp
@@ -93,7 +93,7 @@
   writeListings(directory + "/membership.csv", audit);
   writeSamples(directory + "/seconds.csv", result);
   writeFigures(directory + "/figures.csv", result);
-  // What the charts need, and small enough to keep.
+  // The input of the charts. These files are small, because they have one line for each second.
   writeLatencyBySecond(directory + "/latency_by_second.csv", audit);
   writeAttemptsBySecond(directory + "/sends_by_second.csv", audit, endpoints);
 }
--- a/testbed/run_context.hpp
+++ b/testbed/run_context.hpp
@@ -1,4 +1,4 @@
-// What all parts of a run share: the event loop, the clock and the random numbers.
+// State shared by all parts of a run: the event loop, the clock and the random numbers.
 #pragma once
 
 #include <event2/event.h>
@@ -26,14 +26,14 @@
   event_base* eventBase() const { return eventBase_.get(); }
   pcg64& random() { return random_; }
 
-  /// Monotonic; counts from the construction of this object.
+  /// Returns the monotonic time since the construction of this object.
   Time now() const { return std::chrono::duration_cast<Time>(std::chrono::steady_clock::now() - startedAt_); }
-  /// Milliseconds since 1970 of an instant of this run.
+  /// Converts an instant of this run to Unix time in milliseconds.
   std::int64_t unixMs(Time instant) const { return (startedAtUnix_ + instant).count() / 1000; }
 
-  /// A number drawn evenly from [min, max).
+  /// Returns a uniformly distributed number from [min, max).
   double uniform(double min, double max) { return std::uniform_real_distribution<>(min, max)(random_); }
-  /// A duration drawn evenly from [min, max).
+  /// Returns a uniformly distributed duration from [min, max).
   Time uniform(Time min, Time max) {
     return fromMicroseconds(uniform(static_cast<double>(min.count()), static_cast<double>(max.count())));
   }
--- a/testbed/run_figures.cpp
+++ b/testbed/run_figures.cpp
@@ -18,7 +18,7 @@
   return std::accumulate(values.begin(), values.end(), 0.0) / static_cast<double>(values.size());
 }
 
-// What the proxy adds to the latency of a request.
+// Adds the latencies with and without a proxy, and the median latency that the proxy adds.
 void addOverhead(const std::vector<double>& direct, const std::vector<double>& proxied, Figures& figures) {
   const double directMedian = medianOf(direct);
   const double proxiedMedian = medianOf(proxied);
@@ -37,9 +37,9 @@
   const double requests = figures["requests"];
   figures["seconds"] = seconds;
   figures["crashes"] = static_cast<double>(measurements.crashedProxies);
-  figures["resident_mb"] = measurements.peakResidentMb;
+  figures["resident_mb"] = measurements.peakSampledResidentMb;
   figures["proxy_cpu_total_s"] = measurements.totalCpuSeconds;
-  figures["peak_resident_mb"] = measurements.peakMemoryMb;
+  figures["peak_resident_mb"] = measurements.lifetimePeakMb;
   figures["descriptors"] = measurements.peakDescriptors;
   figures["list_bytes"] = measurements.listBytes;
   figures["connections"] = measurements.connections;
--- a/testbed/run_sampler.cpp
+++ b/testbed/run_sampler.cpp
@@ -36,7 +36,7 @@
       current.atSeconds, current.served - previous.served, current.rejected - previous.rejected,
       current.failed - previous.failed, current.listedEndpoints,
       100 * (current.cpuSeconds - previous.cpuSeconds), current.residentMb);
-  if (display_ == ProgressDisplay::LineASecond) std::fprintf(stderr, "\n");
+  if (display_ == ProgressDisplay::LinePerSecond) std::fprintf(stderr, "\n");
   std::fflush(stderr);
 }
 
--- a/testbed/run_sampler.hpp
+++ b/testbed/run_sampler.hpp
@@ -1,4 +1,4 @@
-// Takes a sample of a run each second, and shows the progress.
+// Samples a run every second and shows its progress.
 #pragma once
 
 #include <functional>
@@ -13,8 +13,8 @@
 /// How the progress is shown on standard error.
 enum class ProgressDisplay {
   None,
-  OneLine,  ///< that is overwritten each second
-  LineASecond
+  OneLine,  ///< one line, overwritten every second
+  LinePerSecond
 };
 
 class RunSampler {
--- a/testbed/script.cpp
+++ b/testbed/script.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Time kMinInterval = std::chrono::milliseconds(1);
-constexpr std::size_t kRepetitionWords = 6;  // from TIME every TIME until TIME
+constexpr std::size_t kRepetitionWords = 6;  // the words of "from TIME every TIME until TIME"
 
 struct ActionSyntax {
   ScriptAction action;
@@ -35,7 +35,7 @@
   return actions;
 }
 
-// When the steps of a line are due.
+// The times at which the action of a line is executed: `from`, then every `interval` up to `until`.
 struct Schedule {
   Time from{};
   Time interval{};
@@ -44,8 +44,8 @@
 
 std::optional<Time> parseTime(const std::string& word, std::vector<ValueError>& errors) {
   const auto time = parseDuration(word);
-  if (const ValueError* wrong = std::get_if<ValueError>(&time)) {
-    errors.push_back({wrong->problem, "a line is TIME ACTION, or from TIME every TIME until TIME ACTION"});
+  if (const ValueError* error = std::get_if<ValueError>(&time)) {
+    errors.push_back({error->problem, "a line is 'TIME ACTION' or 'from TIME every TIME until TIME ACTION'"});
     return std::nullopt;
   }
   return std::get<Time>(time);
@@ -87,8 +87,8 @@
   words.erase(words.begin(), words.begin() + static_cast<std::ptrdiff_t>(scheduleWords));
   const auto action = words.empty() ? actionsByName().end() : actionsByName().find(words[0]);
   if (action == actionsByName().end() || words.size() < 1 + action->second.minArguments) {
-    errors.push_back(
-        {"'" + text + "' is no action, or lacks a word", "actions are " + joinKeys(actionsByName())});
+    errors.push_back({"'" + text + "' has an unknown action or too few arguments",
+                      "actions are " + joinKeys(actionsByName())});
     return {};
   }
   words.erase(words.begin());
--- a/testbed/script.hpp
+++ b/testbed/script.hpp
@@ -1,4 +1,4 @@
-// The script of an experiment: what happens to its parts, and when.
+// The script of an experiment: timed actions on endpoints, discovery, load and proxies.
 #pragma once
 
 #include <string>
@@ -14,36 +14,36 @@
   Publish,      ///< ENDPOINT [LAST]: listed in discovery
   Toggle,       ///< ENDPOINT: withdrawn if it is listed, published if it is not
   Drain,        ///< ENDPOINT [LAST]: listed as leaving
-  Rename,       ///< ENDPOINT NAME
+  Rename,       ///< ENDPOINT NAME: the endpoint is listed under the new name
   WithdrawAll,  ///< all endpoints
   PublishAll,   ///< all endpoints
-  Kill,         ///< ENDPOINT: its process dies; connections are reset
+  Kill,         ///< ENDPOINT: stops as if its process had died; its connections are reset
   Start,        ///< ENDPOINT: starts again and warms up
-  Vanish,       ///< ENDPOINT: sends nothing and accepts nothing; its connections stay open
-  Recover,      ///< ENDPOINT: neither vanished nor hanging any longer
-  Hang,         ///< ENDPOINT: takes requests and answers none
-  Slow,         ///< ENDPOINT FACTOR
-  Errors,       ///< ENDPOINT PERCENT of requests
-  Resets,       ///< ENDPOINT PERCENT of requests
-  Lag,          ///< ENDPOINT FACTOR: of applying the log
-  NameServers,  ///< BEHAVIOR: of all name servers, see NameServer::Behavior
-  Registry,     ///< down, up, or restart: watches end and get complete lists
-  Rate,         ///< REQUESTS a second, of all proxies together
-  Crowd,        ///< CLIENTS: so many connect to each proxy and send nothing
-  Clock,        ///< MILLISECONDS: by which the proxies' wall clocks are wrong
+  Vanish,       ///< ENDPOINT: neither sends nor accepts anything; its connections stay open
+  Recover,      ///< ENDPOINT: no longer vanished or hanging
+  Hang,         ///< ENDPOINT: accepts requests and answers none
+  Slow,         ///< ENDPOINT FACTOR: requests take this many times as long
+  Errors,       ///< ENDPOINT PERCENT: share of requests answered with an error
+  Resets,       ///< ENDPOINT PERCENT: share of requests whose connection is reset
+  Lag,          ///< ENDPOINT FACTOR: applying the log takes this many times as long
+  NameServers,  ///< BEHAVIOR: of all name servers; see NameServer::Behavior
+  Registry,     ///< down, up, or restart: watches end, and new ones receive complete lists
+  Rate,         ///< RATE: requests a second, over all proxies together
+  Crowd,        ///< CLIENTS: number of idle clients that connect to each proxy
+  Clock,        ///< MILLISECONDS: offset of the proxies' wall clocks
   Proxy,        ///< NUMBER term|hup|kill|start
   Primary       ///< kill|hang|vanish GROUP
 };
 
 struct ScriptStep {
-  Time at{};  ///< since the load started
+  Time at{};  ///< since the start of the load
   ScriptAction action{};
-  std::vector<std::string> arguments;  ///< at least as many as the action needs
-  int line = 0;                        ///< of the experiment's file
+  std::vector<std::string> arguments;  ///< at least the number that the action requires
+  int line = 0;                        ///< line number in the experiment file
 };
 
 /// Reads "5s withdraw s-3" or "from 2s every 400ms until 42s toggle s-4".
-/// @return a step for each repetition; none if `errors` got what is wrong.
+/// Returns one step for each repetition. If the line is invalid, appends to `errors` and returns none.
 std::vector<ScriptStep> parseScriptLine(const std::string& text, int line, std::vector<ValueError>& errors);
 
 }  // namespace stonebay::testbed
--- a/testbed/script_runner.cpp
+++ b/testbed/script_runner.cpp
@@ -37,14 +37,14 @@
       {ScriptAction::Slow, &ScriptRunner::slowDown},
       {ScriptAction::Errors, &ScriptRunner::injectErrors},
       {ScriptAction::Resets, &ScriptRunner::injectResets},
-      {ScriptAction::Lag, &ScriptRunner::lag},
-      {ScriptAction::NameServers, &ScriptRunner::setNameServerMood},
+      {ScriptAction::Lag, &ScriptRunner::slowDownApply},
+      {ScriptAction::NameServers, &ScriptRunner::setNameServerBehavior},
       {ScriptAction::Registry, &ScriptRunner::setRegistryState},
       {ScriptAction::Rate, &ScriptRunner::setRate},
       {ScriptAction::Crowd, &ScriptRunner::addCrowd},
       {ScriptAction::Clock, &ScriptRunner::setClock},
       {ScriptAction::Proxy, &ScriptRunner::controlProxy},
-      {ScriptAction::Primary, &ScriptRunner::disturbPrimary}};
+      {ScriptAction::Primary, &ScriptRunner::injectPrimaryFault}};
   return handlers;
 }
 
@@ -72,7 +72,7 @@
 
 EndpointServer& ScriptRunner::endpointOf(const ScriptStep& step) const {
   EndpointServer* const endpoint = fleet_.findByName(step.arguments[0]);
-  if (endpoint == nullptr) fail(step, "there is no data server " + step.arguments[0]);
+  if (endpoint == nullptr) fail(step, "unknown data server '" + step.arguments[0] + "'");
   return *endpoint;
 }
 
@@ -80,7 +80,7 @@
   EndpointServer& first = endpointOf(step);
   if (step.arguments.size() < 2) return {&first};
   const EndpointServer* const last = fleet_.findByName(step.arguments[1]);
-  if (last == nullptr) fail(step, "there is no data server " + step.arguments[1]);
+  if (last == nullptr) fail(step, "unknown data server '" + step.arguments[1] + "'");
   std::vector<EndpointServer*> endpoints;
   for (const auto& endpoint : fleet_.endpoints())
     if (endpoint->number() >= first.number() && endpoint->number() <= last->number())
@@ -96,7 +96,8 @@
 
 ProxyUnderTest& ScriptRunner::proxyOf(const ScriptStep& step) const {
   const auto index = static_cast<std::size_t>(std::atoi(step.arguments[0].c_str())) - 1;
-  if (index >= proxies_.size()) fail(step, "there is no proxy " + step.arguments[0]);
+  if (index >= proxies_.size())
+    fail(step, "unknown proxy '" + step.arguments[0] + "'; proxies are numbered from 1");
   return *proxies_[index];
 }
 
@@ -138,14 +139,14 @@
   endpointOf(step).setResetShare(shareOf(step.arguments[1]));
 }
 
-void ScriptRunner::lag(const ScriptStep& step) {
+void ScriptRunner::slowDownApply(const ScriptStep& step) {
   endpointOf(step).setApplySlowdown(numberOf(step.arguments[1]));
 }
 
-void ScriptRunner::setNameServerMood(const ScriptStep& step) {
+void ScriptRunner::setNameServerBehavior(const ScriptStep& step) {
   NameServer::Behavior behavior{};
   if (!NameServer::findBehavior(step.arguments[0], behavior))
-    fail(step, "there is no mood " + step.arguments[0]);
+    fail(step, "unknown name server behavior '" + step.arguments[0] + "'");
   for (const auto& proxy : proxies_) proxy->discovery().setNameServerMood(behavior);
 }
 
@@ -160,8 +161,8 @@
 }
 
 void ScriptRunner::setRate(const ScriptStep& step) {
-  const double rateOfOneProxy = numberOf(step.arguments[0]) / static_cast<double>(proxies_.size());
-  for (const auto& proxy : proxies_) proxy->clients().setRate(rateOfOneProxy);
+  const double ratePerProxy = numberOf(step.arguments[0]) / static_cast<double>(proxies_.size());
+  for (const auto& proxy : proxies_) proxy->clients().setRate(ratePerProxy);
 }
 
 void ScriptRunner::addCrowd(const ScriptStep& step) {
@@ -172,7 +173,7 @@
   for (const auto& proxy : proxies_) proxy->setClockOffset(step.arguments[0]);
 }
 
-// "proxy 2 kill"
+// Example: "proxy 2 kill"
 void ScriptRunner::controlProxy(const ScriptStep& step) {
   ProxyUnderTest& proxy = proxyOf(step);
   const std::string& command = step.arguments[1];
@@ -185,11 +186,11 @@
   else if (command == "start")
     proxy.start();
   else
-    fail(step, "a proxy can be sent term, hup, kill or start");
+    fail(step, "unknown proxy command '" + command + "'; the commands are term, hup, kill and start");
 }
 
-// "primary kill 1": the primary of group 1
-void ScriptRunner::disturbPrimary(const ScriptStep& step) {
+// Example: "primary kill 1" kills the primary of group 1. Does nothing if the group has no primary.
+void ScriptRunner::injectPrimaryFault(const ScriptStep& step) {
   const std::string& fault = step.arguments[0];
   EndpointServer* const primary = fleet_.primary(std::atoi(step.arguments[1].c_str()));
   if (primary == nullptr) return;
--- a/testbed/script_runner.hpp
+++ b/testbed/script_runner.hpp
@@ -1,4 +1,4 @@
-// Executes an experiment's script while the load runs.
+// Executes the script of an experiment while the load runs.
 #pragma once
 
 #include <cstddef>
@@ -21,8 +21,9 @@
   ScriptRunner(const RunContext& context, const Experiment& experiment, EndpointFleet& fleet,
                EndpointPublisher& publisher, Proxies& proxies);
 
-  /// Executes the steps that are due at once; the others follow by timer. Here and from the event loop it
-  /// throws std::runtime_error for a step that names what doesn't exist.
+  /// Executes the steps that are due immediately and schedules the others on the event loop. A step that
+  /// refers to an unknown endpoint, proxy, proxy command or name server behavior throws std::runtime_error,
+  /// from here or from the event loop.
   void start();
   void stop() { timer_.stop(); }
 
@@ -34,9 +35,10 @@
   void execute(const ScriptStep& step);
   [[noreturn]] void fail(const ScriptStep& step, const std::string& problem) const;
   EndpointServer& endpointOf(const ScriptStep& step) const;
-  /// One endpoint, or with a second name all from the first to the second.
+  /// Returns the endpoint named by the step, or all endpoints in the range if the step names a first and a
+  /// last one.
   std::vector<EndpointServer*> endpointsOf(const ScriptStep& step) const;
-  /// The changes of all endpoints of a step reach discovery's watches as one.
+  /// Applies `change` to all endpoints of the step. Discovery sends the changes to its watches as one update.
   void changeAll(const ScriptStep& step, const std::function<void(EndpointServer&)>& change);
   ProxyUnderTest& proxyOf(const ScriptStep& step) const;
 
@@ -61,14 +63,14 @@
   void slowDown(const ScriptStep& step);
   void injectErrors(const ScriptStep& step);
   void injectResets(const ScriptStep& step);
-  void lag(const ScriptStep& step);
-  void setNameServerMood(const ScriptStep& step);
+  void slowDownApply(const ScriptStep& step);
+  void setNameServerBehavior(const ScriptStep& step);
   void setRegistryState(const ScriptStep& step);
   void setRate(const ScriptStep& step);
   void addCrowd(const ScriptStep& step);
   void setClock(const ScriptStep& step);
   void controlProxy(const ScriptStep& step);
-  void disturbPrimary(const ScriptStep& step);
+  void injectPrimaryFault(const ScriptStep& step);
 
   const RunContext& context_;
   const Experiment& experiment_;
--- a/testbed/soak_day.cpp
+++ b/testbed/soak_day.cpp
@@ -10,74 +10,76 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr int kMembers = 5;  // endpoints of a group
+constexpr int kEndpointsPerGroup = 5;
 constexpr double kMinGroups = 2;
 constexpr double kMaxGroups = 640;
 constexpr int kDurationMs = 9000;
 constexpr int kEarliestFaultMs = 500;
 constexpr int kLatestFaultMs = 7000;
-constexpr int kKillMarginMs = 700;  // the earliest SIGKILL: so long after the longest deadline, from SIGTERM
+// A proxy may be killed no earlier than the longest request deadline plus this margin after SIGTERM.
+constexpr int kKillMarginMs = 700;
 
-// Draws one day.
-class Day {
+// Generates one experiment.
+class SoakExperimentGenerator {
  public:
-  explicit Day(std::uint64_t seed) : random_(seed), seed_(seed) {}
+  explicit SoakExperimentGenerator(std::uint64_t seed) : random_(seed), seed_(seed) {}
 
   std::string text() {
-    drawGeneral();
-    drawClasses();
-    drawListChanges();
-    drawEndpointFaults();
-    drawSignals();
-    drawMachineFaults();
+    chooseGeneralSettings();
+    chooseDeadlines();
+    addDiscoveryChanges();
+    addEndpointFaults();
+    addProxySignals();
+    addSystemFaults();
     return ini();
   }
 
  private:
   int uniform(int min, int max) { return std::uniform_int_distribution<int>(min, max)(random_); }
-  bool happens(int percent) { return uniform(1, 100) <= percent; }
-  int faultTime() { return uniform(kEarliestFaultMs, kLatestFaultMs); }
+  // Returns true with a probability of `percent`.
+  bool randomBool(int percent) { return uniform(1, 100) <= percent; }
+  int randomFaultTimeMs() { return uniform(kEarliestFaultMs, kLatestFaultMs); }
   void addStep(int atMs, const std::string& action) { script_ << atMs << "ms " << action << "\n"; }
-  std::string endpoint() { return "s-" + std::to_string(uniform(1, groups_ * kMembers)); }
-  // A run of neighbours, of a tenth of all endpoints at most.
-  std::string endpoints() {
-    const int count = uniform(1, std::max(1, groups_ * kMembers / 10));
-    const int first = uniform(1, groups_ * kMembers - count + 1);
+  std::string randomEndpoint() { return "s-" + std::to_string(uniform(1, groups_ * kEndpointsPerGroup)); }
+  // Returns the first and the last name of a range of consecutive endpoints, at most a tenth of all.
+  std::string randomEndpointRange() {
+    const int count = uniform(1, std::max(1, groups_ * kEndpointsPerGroup / 10));
+    const int first = uniform(1, groups_ * kEndpointsPerGroup - count + 1);
     return "s-" + std::to_string(first) + " s-" + std::to_string(first + count - 1);
   }
 
-  void drawGeneral() {
+  void chooseGeneralSettings() {
     const double share = std::uniform_real_distribution<>(0, 1)(random_);
     groups_ = static_cast<int>(kMinGroups * std::pow(kMaxGroups / kMinGroups, share));
-    tier_ = happens(50) ? uniform(100, 900) : uniform(1, 20);
-    cpuPercent_ = happens(50) ? 100 : uniform(15, 60);
+    tier_ = randomBool(50) ? uniform(100, 900) : uniform(1, 20);
+    cpuPercent_ = randomBool(50) ? 100 : uniform(15, 60);
     rate_ = uniform(20, 80);
   }
 
-  void drawClasses() {
-    readDeadlineMs_ = happens(50) ? uniform(150, 500) : uniform(500, 1500);
-    writeDeadlineMs_ = happens(50) ? readDeadlineMs_ : uniform(500, 2500);
+  void chooseDeadlines() {
+    readDeadlineMs_ = randomBool(50) ? uniform(150, 500) : uniform(500, 1500);
+    writeDeadlineMs_ = randomBool(50) ? readDeadlineMs_ : uniform(500, 2500);
   }
 
-  void drawListChanges() {
-    if (happens(60)) addStep(faultTime(), "registry restart");
-    if (happens(50)) {
-      const int down = faultTime();
+  void addDiscoveryChanges() {
+    if (randomBool(60)) addStep(randomFaultTimeMs(), "registry restart");
+    if (randomBool(50)) {
+      const int down = randomFaultTimeMs();
       addStep(down, "registry down");
       addStep(down + uniform(100, 2500), "registry up");
     }
     for (int change = uniform(1, 4); change > 0; --change) {
-      const std::string which = endpoints();
-      const int at = faultTime();
-      addStep(at, (happens(60) ? "drain " : "withdraw ") + which);
-      if (happens(60)) addStep(at + uniform(200, 2000), "publish " + which);
+      const std::string which = randomEndpointRange();
+      const int at = randomFaultTimeMs();
+      addStep(at, (randomBool(60) ? "drain " : "withdraw ") + which);
+      if (randomBool(60)) addStep(at + uniform(200, 2000), "publish " + which);
     }
   }
 
-  void drawEndpointFaults() {
+  void addEndpointFaults() {
     for (int fault = uniform(0, 4); fault > 0; --fault) {
-      const std::string which = endpoint();
-      const int at = faultTime();
+      const std::string which = randomEndpoint();
+      const int at = randomFaultTimeMs();
       const int end = at + uniform(300, 2500);
       switch (uniform(1, 5)) {
         case 1:
@@ -101,30 +103,31 @@
     }
   }
 
-  // SIGHUP and SIGTERM in series; SIGKILL at its earliest, then the next process.
-  void drawSignals() {
-    for (int signal = uniform(0, 3); signal > 0; --signal) addStep(faultTime(), "proxy 1 hup");
-    if (!happens(60)) return;
+  // Sends up to three SIGHUPs. With 60% probability also terminates the proxy, possibly with further signals
+  // during the shutdown, kills it at the earliest time allowed and starts a new process 50 ms later.
+  void addProxySignals() {
+    for (int signal = uniform(0, 3); signal > 0; --signal) addStep(randomFaultTimeMs(), "proxy 1 hup");
+    if (!randomBool(60)) return;
     const int term = uniform(1000, 4000);
     const int kill = term + std::max(readDeadlineMs_, writeDeadlineMs_) + kKillMarginMs;
     addStep(term, "proxy 1 term");
-    if (happens(40)) addStep(term + uniform(0, 400), "proxy 1 term");
-    if (happens(40)) addStep(term + uniform(0, 600), "proxy 1 hup");
+    if (randomBool(40)) addStep(term + uniform(0, 400), "proxy 1 term");
+    if (randomBool(40)) addStep(term + uniform(0, 600), "proxy 1 hup");
     addStep(kill, "proxy 1 kill");
     addStep(kill + 50, "proxy 1 start");
-    if (happens(30)) addStep(kill + uniform(250, 400), "proxy 1 hup");
+    if (randomBool(30)) addStep(kill + uniform(250, 400), "proxy 1 hup");
   }
 
-  void drawMachineFaults() {
-    if (happens(40)) addStep(faultTime(), "crowd " + std::to_string(uniform(50, 400)));
+  void addSystemFaults() {
+    if (randomBool(40)) addStep(randomFaultTimeMs(), "crowd " + std::to_string(uniform(50, 400)));
     for (const int offsetMs : {3600 * 1000, -3600 * 1000, 4000, -4000, 0})
-      if (happens(20)) addStep(faultTime(), "clock " + std::to_string(offsetMs));
+      if (randomBool(20)) addStep(randomFaultTimeMs(), "clock " + std::to_string(offsetMs));
     static const std::vector<std::string> faults{
         "accept4:ECONNABORTED:100", "accept4:ENFILE:50",   "socket:ENFILE:20",      "socket:ENOBUFS:20",
         "connect:EADDRNOTAVAIL:20", "readv:SHORT:100",     "writev:SHORT:100",      "readv:EINTR:50",
         "writev:EAGAIN:50",         "epoll_wait:EINTR:50", "connect:ENETUNREACH:20"};
     for (const std::string& fault : faults)
-      if (happens(25)) faults_ += (faults_.empty() ? "" : ",") + fault;
+      if (randomBool(25)) faults_ += (faults_.empty() ? "" : ",") + fault;
   }
 
   std::string ini() const {
@@ -133,7 +136,7 @@
          << "\ntier = " << tier_ << "\ncpu_share = " << cpuPercent_ << "%\nduration = " << kDurationMs
          << "ms\nwarmup = 1500ms\n";
     if (!faults_.empty()) text << "faults = " << faults_ << "\n";
-    text << "[fleet]\ngroups = " << groups_ << "\nmembers = " << kMembers
+    text << "[fleet]\ngroups = " << groups_ << "\nmembers = " << kEndpointsPerGroup
          << "\napply_work = 1ms\n[load]\nrate = " << rate_
          << "\nretries = 1\nleave = 5%\ncancel = 3%\nshort = 8%\nanswer_grace = 500ms\n[class read]\nshare = "
             "85%\n"
@@ -163,6 +166,6 @@
 
 }  // namespace
 
-std::string drawSoakDay(std::uint64_t seed) { return Day(seed).text(); }
+std::string generateSoakExperiment(std::uint64_t seed) { return SoakExperimentGenerator(seed).text(); }
 
 }  // namespace stonebay::testbed
--- a/testbed/soak_day.hpp
+++ b/testbed/soak_day.hpp
@@ -1,4 +1,4 @@
-// Draws the experiments of the soak: everything about a day follows from its seed.
+// Generates the random experiments of the soak test. The seed alone determines an experiment.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,8 @@
 
 namespace stonebay::testbed {
 
-/// An experiment as INI text: 10 to 3,200 endpoints, and faults of all kinds that the testbed knows. Its
-/// claims are the rules that a proxy has to keep.
-std::string drawSoakDay(std::uint64_t seed);
+/// Returns an experiment as INI text, with 10 to 3,200 endpoints and random faults of many kinds. Its claims
+/// are the rules that a proxy must keep.
+std::string generateSoakExperiment(std::uint64_t seed);
 
 }  // namespace stonebay::testbed
--- a/testbed/text_number.hpp
+++ b/testbed/text_number.hpp
@@ -1,4 +1,4 @@
-// Numbers as reports write them.
+// Formats numbers for reports.
 #pragma once
 
 #include <array>
@@ -7,7 +7,7 @@
 
 namespace stonebay::testbed {
 
-/// Six significant digits.
+/// Returns the value as text with up to six significant digits.
 inline std::string numberText(double value) {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.6g", value);
--- a/testbed/time.hpp
+++ b/testbed/time.hpp
@@ -1,4 +1,4 @@
-// Time within a run.
+// The time type of a run.
 #pragma once
 
 #include <chrono>
@@ -6,12 +6,12 @@
 
 namespace stonebay::testbed {
 
-/// An instant, counted from the start of the run's process, or the length of an interval.
+/// A duration, or an instant given as the time since the start of the run (see RunContext::now()).
 using Time = std::chrono::microseconds;
 
 inline double toSeconds(Time time) { return static_cast<double>(time.count()) / 1e6; }
 inline double toMilliseconds(Time time) { return static_cast<double>(time.count()) / 1e3; }
-/// Rounds towards zero.
+/// Rounds toward zero.
 inline Time fromMicroseconds(double us) { return Time(static_cast<std::int64_t>(us)); }
 
 }  // namespace stonebay::testbed
--- a/testbed/timer.hpp
+++ b/testbed/timer.hpp
@@ -9,7 +9,7 @@
 
 namespace stonebay::testbed {
 
-/// Calls a function once for each start. The call is cancelled when the timer is destroyed.
+/// Calls a function once, when the started timer expires. Destroying the timer cancels the call.
 class Timer {
  public:
   Timer(const RunContext& context, std::function<void()> onExpiry)
@@ -23,7 +23,8 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  /// (Re)starts the timer; a delay of zero or less expires in the next pass of the loop.
+  /// Starts or restarts the timer. With a delay of zero or less it expires in the next pass of the event
+  /// loop.
   void startIn(Time delay) { startTimer(event_.get(), delay); }
   void stop() { event_del(event_.get()); }
 
--- a/testbed/words.hpp
+++ b/testbed/words.hpp
@@ -1,4 +1,4 @@
-// Text helpers of the experiment parser.
+// Text helpers for the parsers of experiments, scripts and claims.
 #pragma once
 
 #include <iterator>
@@ -8,13 +8,13 @@
 
 namespace stonebay::testbed {
 
-/// The words of a line, separated by blanks.
+/// Splits a line into words separated by whitespace.
 inline std::vector<std::string> splitWords(const std::string& text) {
   std::istringstream stream(text);
   return {std::istream_iterator<std::string>(stream), std::istream_iterator<std::string>()};
 }
 
-/// The keys of a map, as "a, b, c".
+/// Returns the keys of a map in the form "a, b, c".
 template <typename Map>
 std::string joinKeys(const Map& map) {
   std::string list;
