--- a/testbed/blocking_socket.hpp
+++ b/testbed/blocking_socket.hpp
@@ -9,15 +9,15 @@
 
 namespace stonebay::testbed {
 
-/// False if the connection has ended.
+/// Returns false if the connection has ended.
 bool sendAll(int fd, const std::string& bytes);
-/// Appends the next bytes to `input`; false if the connection has ended.
+/// Appends the bytes received next to `input`. Returns false if the connection has ended.
 bool receiveInto(int fd, std::string& input);
-/// Closed if the server can't be reached.
+/// Returns a connected socket, or a closed one if the server can't be reached.
 UniqueFd connectTo(const sockaddr_in& server);
-/// Listens on 127.0.0.1 at a port of the system's choice; closed if there is none.
+/// Returns a socket that listens on 127.0.0.1 at a port chosen by the system, or a closed one on failure.
 UniqueFd listenOnLoopback();
-/// "127.0.0.1:5432"
+/// Parses an IPv4 address and port such as "127.0.0.1:5432".
 sockaddr_in parseAddress(const std::string& text);
 
 }  // namespace stonebay::testbed
--- a/testbed/client_connection.cpp
+++ b/testbed/client_connection.cpp
@@ -13,11 +13,11 @@
 namespace stonebay::testbed {
 namespace {
 
-// Length and code of a CancelRequest; the numbers of the BackendKeyData message follow.
-const std::string kCancelRequestHead("\0\0\0\x10\x04\xd2\x16\x2e", 8);
+// Length and code of a CancelRequest; the body of the BackendKeyData message follows.
+const std::string kCancelRequestPrefix("\0\0\0\x10\x04\xd2\x16\x2e", 8);
 constexpr std::string_view kTooManyConnections = "53300";  // SQLSTATE
 constexpr std::string_view kCannotConnectNow = "57P03";
-constexpr std::string_view kDetailField("\0D", 2);  // of an ErrorResponse
+constexpr std::string_view kDetailField("\0D", 2);  // in an ErrorResponse
 
 }  // namespace
 
@@ -46,7 +46,7 @@
 void ClientConnection::send(ClientRequest request) {
   request_ = std::move(request);
   hasRow_ = false;
-  rejected_ = false;
+  isRejected_ = false;
   value_.clear();
   write(connection_.get(), pg::query(request_->statement));
   deadline_.startIn(request_->deadline + answerGrace_ - context_.now());
@@ -83,7 +83,7 @@
 
 void ClientConnection::onError(std::string_view body) {
   const auto error = pg::parseErrorResponse(body);
-  rejected_ = error.code == kTooManyConnections || error.code == kCannotConnectNow;
+  isRejected_ = error.code == kTooManyConnections || error.code == kCannotConnectNow;
   retryAfter_ = Time(0);
   const std::size_t detail = body.find(kDetailField);
   if (detail != std::string_view::npos)
@@ -91,8 +91,8 @@
 }
 
 bool ClientConnection::onReadyForQuery() {
-  if (!greeted_) {
-    greeted_ = true;
+  if (!isGreeted_) {
+    isGreeted_ = true;
     return true;
   }
   if (!request_) {
@@ -105,14 +105,14 @@
   ClientResponse response;
   if (hasRow_)
     response.result = RequestResult::Served;
-  else if (rejected_)
+  else if (isRejected_)
     response.result = RequestResult::Rejected;
   response.value = value_;
   response.retryAfter = retryAfter_;
   return handler_.onResponse(*this, request, response);
 }
 
-// A cancelled request keeps its connection: its answer is still due.
+// After a CancelRequest the connection stays open because the server still answers the cancelled request.
 void ClientConnection::onLeaveDue() {
   if (!request_) return;
   ClientRequest request = *request_;
@@ -127,7 +127,7 @@
 void ClientConnection::sendCancelRequest() const {
   const UniqueFd fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
   if (fd.get() < 0 || connect(fd.get(), asSockaddr(target_), sizeof target_) != 0) return;
-  const std::string message = kCancelRequestHead + cancelKey_;
+  const std::string message = kCancelRequestPrefix + cancelKey_;
   ::send(fd.get(), message.data(), message.size(), MSG_NOSIGNAL);
 }
 
--- a/testbed/client_connection.hpp
+++ b/testbed/client_connection.hpp
@@ -1,4 +1,4 @@
-// One client connection to a proxy or an endpoint: one request at a time.
+// One client connection to a proxy or an endpoint. Sends one request at a time.
 #pragma once
 
 #include <netinet/in.h>
@@ -23,22 +23,22 @@
   Time attemptAt{};
   Time firstAttemptAt{};
   Time deadline{};
-  std::optional<Time> leavesAt;  ///< the client closes the connection then, or cancels
-  bool cancels = false;          ///< in place of closing; needs the key that the greeting brings
+  std::optional<Time> leavesAt;  ///< when the client closes the connection or cancels the request
+  bool cancels = false;          ///< cancels instead of closing; needs the key from BackendKeyData
   int retriesLeft = 0;
   int group = 1;
-  std::string idempotencyKey;  ///< the same for all attempts; empty for reads
+  std::string idempotencyKey;  ///< the same for all attempts of a request; empty for reads
 };
 
 struct ClientResponse {
   RequestResult result = RequestResult::Failed;
   std::string value;
-  Time retryAfter{};  ///< of a rejection
+  Time retryAfter{};  ///< if rejected
 };
 
 class ClientConnection;
 
-/// Owns client connections and handles what happens on them.
+/// Owns client connections and handles their events.
 class ClientConnectionHandler {
  public:
   ClientConnectionHandler() = default;
@@ -50,25 +50,29 @@
   /// @return false if the handler destroyed the connection.
   virtual bool onResponse(ClientConnection& connection, const ClientRequest& request,
                           const ClientResponse& response) = 0;
-  /// The deadline of the request in flight passed. The handler destroys the connection.
+  /// The deadline of the request in flight and the answer grace have passed. The handler must destroy the
+  /// connection.
   virtual void onDeadline(ClientConnection& connection, const ClientRequest& request) = 0;
-  /// The client leaves: it has cancelled its request, or the handler destroys the connection.
+  /// The client leaves before it has a response. If `request.cancels`, it has sent a CancelRequest and the
+  /// connection stays open; otherwise the handler must destroy the connection.
   virtual void onLeave(ClientConnection& connection, const ClientRequest& request) = 0;
-  /// The connection ended, perhaps with a request in flight. The handler destroys it.
+  /// The connection ended; `request` is the one that was in flight, if any. The handler must destroy the
+  /// connection.
   virtual void onClosed(ClientConnection& connection, const std::optional<ClientRequest>& request) = 0;
-  /// A response came that no request waited for.
+  /// A response arrived without a request in flight, or with more than one row.
   virtual void onUnexpectedResponse() = 0;
 };
 
 class ClientConnection {
  public:
-  /// Starts to connect. `answerGrace`: how long after its deadline a response still counts.
+  /// Starts to connect.
+  /// @param answerGrace how long after the deadline of a request to wait for its response
   ClientConnection(RunContext& context, ClientConnectionHandler& handler, const sockaddr_in& target,
                    Time answerGrace);
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
 
-  /// Sends a request; there must be none in flight.
+  /// Sends a request. No other request may be in flight.
   void send(ClientRequest request);
 
  private:
@@ -91,11 +95,11 @@
   BufferEvent connection_;
   Timer deadline_;
   Timer leave_;
-  std::string cancelKey_;  // of the BackendKeyData message
-  bool greeted_ = false;
+  std::string cancelKey_;  // body of the BackendKeyData message
+  bool isGreeted_ = false;
   std::optional<ClientRequest> request_;  // in flight
   bool hasRow_ = false;
-  bool rejected_ = false;
+  bool isRejected_ = false;
   std::string value_;
   Time retryAfter_{};
 };
--- a/testbed/connection_io.hpp
+++ b/testbed/connection_io.hpp
@@ -1,4 +1,4 @@
-// Helpers for libevent's connections.
+// Helpers for libevent connections.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -8,10 +8,10 @@
 
 namespace stonebay::testbed {
 
-/// Queues bytes on a connection.
+/// Queues bytes to be sent on a connection.
 void write(bufferevent* connection, std::string_view bytes);
 
-/// Sets TCP_NODELAY: small messages are sent at once.
+/// Sets TCP_NODELAY, so that small messages are sent without delay.
 void disableNagle(evutil_socket_t fd);
 
 }  // namespace stonebay::testbed
--- a/testbed/cpu_throttle.cpp
+++ b/testbed/cpu_throttle.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr Time kCheckInterval = std::chrono::milliseconds(2);
-constexpr double kMaxCreditSeconds = 0.001;  // of unused CPU time, so that a quiet process may not save it up
+// Limits how much unused CPU time an idle process can use later.
+constexpr double kMaxCreditSeconds = 0.001;
 
 }  // namespace
 
@@ -18,7 +19,7 @@
   if (share_ >= 1) return;
   lastCheckAt_ = context_.now();
   lastCpuSeconds_ = process_.cpuSeconds();
-  debtSeconds_ = 0;
+  excessCpuSeconds_ = 0;
   isStopped_ = false;
   timer_.startIn(kCheckInterval);
 }
@@ -26,11 +27,11 @@
 void CpuThrottle::check() {
   const Time now = context_.now();
   const double cpuSeconds = process_.cpuSeconds();
-  debtSeconds_ += cpuSeconds - lastCpuSeconds_ - share_ * toSeconds(now - lastCheckAt_);
-  debtSeconds_ = std::max(debtSeconds_, -kMaxCreditSeconds);
+  excessCpuSeconds_ += cpuSeconds - lastCpuSeconds_ - share_ * toSeconds(now - lastCheckAt_);
+  excessCpuSeconds_ = std::max(excessCpuSeconds_, -kMaxCreditSeconds);
   lastCheckAt_ = now;
   lastCpuSeconds_ = cpuSeconds;
-  const bool mustStop = debtSeconds_ > 0;
+  const bool mustStop = excessCpuSeconds_ > 0;
   if (mustStop != isStopped_) process_.sendSignal(mustStop ? SIGSTOP : SIGCONT);
   isStopped_ = mustStop;
   timer_.startIn(kCheckInterval);
--- a/testbed/cpu_throttle.hpp
+++ b/testbed/cpu_throttle.hpp
@@ -1,4 +1,4 @@
-// Gives a process a small share of a core by stopping it in turn.
+// Limits a process to a share of a core by stopping and continuing it.
 #pragma once
 
 #include "testbed/proxy_process.hpp"
@@ -7,16 +7,16 @@
 
 namespace stonebay::testbed {
 
-/// Stops the process (SIGSTOP) whenever it has used more CPU time than its share, and lets it go on (SIGCONT)
-/// once enough time has passed: what costs 10 ms of CPU takes 100 ms with a share of a tenth.
+/// Stops the process (SIGSTOP) when it has used more CPU time than its share, and continues it (SIGCONT) once
+/// enough time has passed. With a share of 0.1, 10 ms of CPU time take 100 ms.
 class CpuThrottle {
  public:
-  /// `share` of a core; 1 or more: no limit.
+  /// @param share of a core; 1 or more means no limit
   CpuThrottle(const RunContext& context, ProxyProcess& process, double share);
   CpuThrottle(const CpuThrottle&) = delete;
   CpuThrottle& operator=(const CpuThrottle&) = delete;
 
-  /// Counts from now on; also for a process that has been started again.
+  /// Starts or restarts the throttling. Must be called after each start of the process.
   void start();
 
  private:
@@ -28,7 +28,7 @@
   Timer timer_;
   Time lastCheckAt_{};
   double lastCpuSeconds_ = 0;
-  double debtSeconds_ = 0;  ///< CPU time used beyond the share
+  double excessCpuSeconds_ = 0;  ///< CPU time used beyond the share; negative if the share was not used up
   bool isStopped_ = false;
 };
 
--- a/testbed/discovery_stand_in.cpp
+++ b/testbed/discovery_stand_in.cpp
@@ -39,7 +39,7 @@
   void setNameServerMood(NameServer::Behavior behavior) override { server_.setBehavior(behavior); }
 
  private:
-  // An endpoint that is not on the list is withdrawn.
+  // Endpoints that are missing from the list are reported as not listed.
   void reportList(const std::map<std::string, bool>& list) const {
     for (const auto& endpoint : environment_.fleet.endpoints()) {
       const auto it = list.find(endpoint->name());
@@ -71,7 +71,7 @@
         ',' + jsonMember("cell", std::to_string(endpoint.group().number())) + ',' +
         jsonMember("lifecycle", jsonString(isLeaving ? "leaving" : "active")) + ',' +
         jsonMember("weight", "1.0") + ',' + jsonMember("startedAtMs", std::to_string(startedAtMs));
-    numbers_[endpoint.name()] = endpoint.number();
+    endpointNumbers_[endpoint.name()] = endpoint.number();
     server_.publish(endpoint.name(), json, !isLeaving);
   }
   void withdraw(const std::string& name) override { server_.withdraw(name); }
@@ -86,13 +86,13 @@
 
  private:
   void reportInstance(const std::string& name, bool listed) const {
-    const auto number = numbers_.find(name);
-    if (number == numbers_.end()) return;
+    const auto number = endpointNumbers_.find(name);
+    if (number == endpointNumbers_.end()) return;
     environment_.audit.onListing(environment_.context.now(), environment_.proxy, number->second, listed);
   }
 
   const DiscoveryEnvironment environment_;
-  std::unordered_map<std::string, int> numbers_;  // of endpoints, by name
+  std::unordered_map<std::string, int> endpointNumbers_;  // by endpoint name
   RegistryServer server_;
 };
 
--- a/testbed/discovery_stand_in.hpp
+++ b/testbed/discovery_stand_in.hpp
@@ -1,4 +1,4 @@
-// The stand-in of discovery that serves one proxy: a name server or an HTTP registry.
+// The discovery stand-in of one proxy: a name server or an HTTP registry.
 #pragma once
 
 #include <netinet/in.h>
@@ -14,7 +14,7 @@
 
 namespace stonebay::testbed {
 
-/// How an endpoint is listed.
+/// The state under which an endpoint is listed.
 enum class ListingState { Active, Leaving };
 
 class DiscoveryStandIn {
@@ -24,33 +24,33 @@
   DiscoveryStandIn& operator=(const DiscoveryStandIn&) = delete;
   virtual ~DiscoveryStandIn() = default;
 
-  /// Adds or replaces an endpoint at the address where this proxy reaches it.
+  /// Adds or replaces an endpoint. `address` is the endpoint's address for this proxy.
   virtual void publish(const EndpointServer& endpoint, const sockaddr_in& address, ListingState state) = 0;
   virtual void withdraw(const std::string& name) = 0;
-  /// The proxy's settings of discovery: keys of [discovery] and further sections.
+  /// The proxy's discovery settings: keys of [discovery], optionally followed by further sections.
   virtual std::string proxySettings() const = 0;
-  /// Queries received so far; only counted for DNS.
+  /// Number of DNS queries received so far; 0 for a registry.
   virtual std::uint64_t queryCount() const { return 0; }
-  /// Does nothing unless this is a name server.
+  /// Sets how the name server behaves. Does nothing for a registry.
   virtual void setNameServerMood(NameServer::Behavior /*behavior*/) {}
-  /// Does nothing unless this is a registry.
+  /// Does nothing for a name server.
   virtual void setRegistryDown(bool /*down*/) {}
-  /// Ends the watches and forgets the history of changes: the next ones get a complete list. Does nothing
-  /// unless this is a registry.
+  /// Ends the watches and drops the history of changes, so that new watches get a complete list. Does nothing
+  /// for a name server.
   virtual void restartRegistry() {}
-  /// Between these two, changes are gathered and then sent as one. Does nothing unless this is a registry.
+  /// A registry sends the changes between these two calls as one update. They do nothing for a name server.
   virtual void beginChanges() {}
   virtual void endChanges() {}
-  /// Bytes of lists sent so far; only counted for a registry.
+  /// Bytes of instance lists sent so far; 0 for a name server.
   virtual double listBytes() const { return 0; }
 };
 
-/// What a stand-in needs to report to the audit which endpoints its proxy was notified of.
+/// What a stand-in needs in order to report to the audit which endpoints its proxy has been sent.
 struct DiscoveryEnvironment {
   RunContext& context;
   RunAudit& audit;
   const EndpointFleet& fleet;
-  int proxy;  ///< from 1
+  int proxy;  ///< number of the proxy, from 1
 };
 
 /// @param kind "dnssd" or "registry"
--- a/testbed/dns_discovery_client.cpp
+++ b/testbed/dns_discovery_client.cpp
@@ -11,7 +11,8 @@
 
 constexpr std::uint16_t kQueryId = 7;
 
-std::size_t framedSize(const std::string& input) {
+// Returns the length of the message from its two-byte prefix.
+std::size_t messageSize(const std::string& input) {
   return std::size_t{static_cast<unsigned char>(input[0])} << 8 | static_cast<unsigned char>(input[1]);
 }
 
@@ -23,7 +24,7 @@
   const std::string length{static_cast<char>(query.size() >> 8), static_cast<char>(query.size())};
   if (!sendAll(fd.get(), length + query)) return std::nullopt;
   std::string input;
-  while (input.size() < kLengthBytes || input.size() < kLengthBytes + framedSize(input))
+  while (input.size() < kLengthBytes || input.size() < kLengthBytes + messageSize(input))
     if (!receiveInto(fd.get(), input)) break;
   if (input.size() <= kLengthBytes) return std::nullopt;
   return dns::parse(input.substr(kLengthBytes));
@@ -77,8 +78,8 @@
 void EndpointList::update(const std::vector<DiscoveredEndpoint>& listed) {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<DiscoveredEndpoint> updated;
-  for (const DiscoveredEndpoint& known : endpoints_)
-    if (const DiscoveredEndpoint* const endpoint = find(listed, known.name)) updated.push_back(*endpoint);
+  for (const DiscoveredEndpoint& previous : endpoints_)
+    if (const DiscoveredEndpoint* const endpoint = find(listed, previous.name)) updated.push_back(*endpoint);
   for (const DiscoveredEndpoint& endpoint : listed)
     if (find(updated, endpoint.name) == nullptr) updated.push_back(endpoint);
   endpoints_ = std::move(updated);
--- a/testbed/dns_discovery_client.hpp
+++ b/testbed/dns_discovery_client.hpp
@@ -1,4 +1,4 @@
-// Discovery by DNS-SD as the fault-injecting proxy does it: one query over TCP.
+// The DNS-SD discovery of the fault-injecting proxy: a single query over TCP.
 #pragma once
 
 #include <netinet/in.h>
@@ -18,13 +18,15 @@
   sockaddr_in address{};
 };
 
-/// The endpoints that the name server lists now; nothing if it can't be reached or its answer is malformed.
+/// Returns the endpoints that the name server lists, or std::nullopt if it can't be reached or its response
+/// is malformed.
 std::optional<std::vector<DiscoveredEndpoint>> queryEndpoints(const sockaddr_in& nameServer,
                                                               const dns::Name& service);
 
-/// The endpoints that are listed, in the order in which they were first listed. Thread-safe.
+/// The endpoints of the latest list, in the order in which they were first listed. Thread-safe.
 class EndpointList {
  public:
+  /// Replaces the list. Endpoints that were listed before keep their order.
   void update(const std::vector<DiscoveredEndpoint>& listed);
   bool isEmpty() const;
   std::vector<DiscoveredEndpoint> ofGroup(const std::string& group) const;
--- a/testbed/dns_zone.cpp
+++ b/testbed/dns_zone.cpp
@@ -7,7 +7,7 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr std::uint32_t kNegativeTtl = 1;  // seconds
+constexpr std::uint32_t kNegativeTtlSeconds = 1;
 
 }  // namespace
 
@@ -45,7 +45,7 @@
 
 void DnsZone::addTxt(const ServiceInstance& instance, Records& records) const {
   if (!instance.hasTxt) return;
-  // RFC 6763 section 6.1: a TXT record without content is one empty string.
+  // RFC 6763 section 6.1: an empty TXT record contains a single empty string.
   const dns::Strings strings = instance.txt.empty() ? dns::Strings{""} : instance.txt;
   records.push_back({instanceName(instance), Type::Txt, instance.ttl, strings});
 }
@@ -56,7 +56,7 @@
     for (const Type type : types) addAddress(instance, text, type, records);
 }
 
-// Adds nothing if the text is no address of this type.
+// Adds nothing if the text is not an address of this type.
 void DnsZone::addAddress(const ServiceInstance& instance, const std::string& text, Type type,
                          Records& records) const {
   const bool isIpv6 = type == Type::Aaaa;
@@ -78,12 +78,12 @@
   }
 }
 
-// False: the question is not about a name of this instance.
+// Returns whether the question is about a name of this instance.
 bool DnsZone::answerInstance(const ServiceInstance& instance, const Question& question,
                              Message& message) const {
-  bool isKnown = false;
+  bool nameExists = false;
   if (question.name == instanceName(instance)) {
-    isKnown = true;
+    nameExists = true;
     if (question.type == Type::Srv) {
       addSrv(instance, message.answers);
       addAddresses(instance, {Type::A, Type::Aaaa}, message.additionals);
@@ -91,24 +91,24 @@
     if (question.type == Type::Txt) addTxt(instance, message.answers);
   }
   if (question.name == hostName(instance)) {
-    isKnown = true;
+    nameExists = true;
     if (question.type == Type::A || question.type == Type::Aaaa)
       addAddresses(instance, {question.type}, message.answers);
   }
-  return isKnown;
+  return nameExists;
 }
 
 Message DnsZone::answer(const Question& question) const {
   Message message;
-  bool isKnown = question.name == domain_;
+  bool nameExists = question.name == domain_;
   if (question.name == service_) {
-    isKnown = !instances_.empty();
+    nameExists = !instances_.empty();
     answerService(question, message);
   }
   for (const auto& [label, instance] : instances_)
-    if (answerInstance(instance, question, message)) isKnown = true;
-  if (!isKnown) message.rcode = dns::Rcode::NxDomain;
-  if (message.answers.empty()) message.authorities.push_back(soa(kNegativeTtl));
+    if (answerInstance(instance, question, message)) nameExists = true;
+  if (!nameExists) message.rcode = dns::Rcode::NxDomain;
+  if (message.answers.empty()) message.authorities.push_back(soa(kNegativeTtlSeconds));
   return message;
 }
 
--- a/testbed/dns_zone.hpp
+++ b/testbed/dns_zone.hpp
@@ -1,4 +1,4 @@
-// The DNS-SD records of one service in one domain (RFC 6763). Pure: questions in, answers out.
+// The DNS-SD records of one service in one domain (RFC 6763). Computes answers to questions and does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 /// One instance of the service.
 struct ServiceInstance {
-  std::string label;                   ///< "s-1"
-  std::vector<std::string> addresses;  ///< an A or AAAA record each; none: it has no address yet
+  std::string label;                   ///< such as "s-1"
+  std::vector<std::string> addresses;  ///< an A or AAAA record each; may be empty
   std::uint16_t port = 0;
-  std::vector<std::string> txt;  ///< "group=3"
+  std::vector<std::string> txt;  ///< strings such as "group=3"
   std::uint32_t ttl = 2;         ///< seconds
   bool hasSrv = true;
   bool hasTxt = true;
@@ -27,17 +27,17 @@
   /// Throws std::bad_optional_access if one of the names is malformed.
   DnsZone(const std::string& domain, const std::string& service);
 
-  /// Adds an instance, or replaces the one of the same label.
+  /// Adds an instance, or replaces the one with the same label.
   void publish(const ServiceInstance& instance);
   void withdraw(const std::string& label);
   void clear() { instances_.clear(); }
 
   const dns::Name& service() const { return service_; }
   const std::map<std::string, ServiceInstance>& instances() const { return instances_; }
-  /// The authoritative answer with the additional records of RFC 6763 section 12; of the header, only the
-  /// response code is set.
+  /// Returns the records that answer the question, with the additional records of RFC 6763 section 12. The
+  /// response code is the only header field that is set.
   dns::Message answer(const dns::Question& question) const;
-  /// The SOA record of a negative answer.
+  /// Returns the SOA record for a negative answer.
   dns::Record soa(std::uint32_t ttl) const;
 
  private:
--- a/testbed/endpoint_connection.cpp
+++ b/testbed/endpoint_connection.cpp
@@ -24,22 +24,24 @@
 constexpr const char* kInternalError = "XX000";
 constexpr const char* kTooManyConnections = "53300";
 
-// A number from [0, 1) that depends on the id alone: the work of a request is the same on every endpoint.
-double fractionOf(std::string_view id) {
-  constexpr std::uint64_t kMixer = 0xbf58476d1ce4e5b9ULL;  // of splitmix64
+// Returns a number in [0, 1) that depends only on the id, so that a request is the same work on every
+// endpoint.
+double hashToUnitInterval(std::string_view id) {
+  constexpr std::uint64_t kSplitMix64Multiplier = 0xbf58476d1ce4e5b9ULL;
   constexpr double kTwoToThe53 = 9007199254740992.0;
   std::uint64_t hash = fnv1a(id);
   hash ^= hash >> 29;
-  return static_cast<double>((hash * kMixer) >> 11) / kTwoToThe53;
+  return static_cast<double>((hash * kSplitMix64Multiplier) >> 11) / kTwoToThe53;
 }
 
+// Returns the work of a request, in microseconds of a standard core.
 double workOf(const RequestClass& requestClass, std::string_view id) {
   const auto min = static_cast<double>(requestClass.minWork.count());
   const auto range = static_cast<double>((requestClass.maxWork - requestClass.minWork).count());
-  return min + fractionOf(id) * range;
+  return min + hashToUnitInterval(id) * range;
 }
 
-// The value of "NAME=VALUE" in the comment at the end of a statement; empty if there is none.
+// Returns the value of "NAME=VALUE" in the last comment of a statement, or an empty view if there is none.
 std::string_view commentField(std::string_view statement, std::string_view name) {
   const std::size_t commentAt = statement.rfind("/*");
   if (commentAt == std::string_view::npos) return {};
@@ -90,7 +92,7 @@
 void EndpointConnection::close() { endpoint_.remove(*this); }
 
 void EndpointConnection::processInput() {
-  if (endpoint_.isVanished()) return;  // what has arrived waits until the endpoint recovers
+  if (endpoint_.isVanished()) return;  // the input stays buffered until the endpoint recovers
   evbuffer* const input = bufferevent_get_input(connection_.get());
   if (!isGreeted_ && !readStartup(input)) return;
   PgMessage message;
@@ -103,7 +105,7 @@
   }
 }
 
-// False: the startup message is incomplete.
+// Answers the startup message. Returns false if the message is incomplete.
 bool EndpointConnection::readStartup(evbuffer* input) {
   char lengthBytes[kLengthBytes];
   const std::size_t available = evbuffer_get_length(input);
@@ -172,8 +174,8 @@
   if (endpoint_.isHanging()) return;
   if (query_.requestClass->isWrite && !endpoint_.isPrimary())
     return sendError(kReadOnlyTransaction, "this is no primary");
-  if (happens(endpoint_.errorShare())) return sendError(kInternalError, "scripted");
-  if (happens(endpoint_.resetShare())) {
+  if (occursWithProbability(endpoint_.errorShare())) return sendError(kInternalError, "scripted");
+  if (occursWithProbability(endpoint_.resetShare())) {
     resetOnClose();
     isClosing_ = true;
     return workDone_.startIn(Time(0));
@@ -185,8 +187,8 @@
   workDone_.startIn(query_.completesAt - now);
 }
 
-bool EndpointConnection::happens(double share) const {
-  return share > 0 && environment_.context.uniform(0.0, 1.0) < share;
+bool EndpointConnection::occursWithProbability(double probability) const {
+  return probability > 0 && environment_.context.uniform(0.0, 1.0) < probability;
 }
 
 void EndpointConnection::onWorkDone() {
@@ -227,7 +229,7 @@
   write(connection_.get(), pg::errorResponse("ERROR", code, text) + pg::readyForQuery());
 }
 
-// The work of a cancelled request stops.
+// Cancels the remaining work of the request in flight.
 void EndpointConnection::cancelQuery() {
   if (!isBusy_) return;
   isBusy_ = false;
--- a/testbed/endpoint_connection.hpp
+++ b/testbed/endpoint_connection.hpp
@@ -1,4 +1,5 @@
-// One connection of a stand-in endpoint: greeted at once, then one query at a time.
+// One connection to a stand-in endpoint. Sends the greeting without authentication, then serves one query at
+// a time.
 #pragma once
 
 #include <event2/util.h>
@@ -24,9 +25,9 @@
   EndpointConnection(const EndpointConnection&) = delete;
   EndpointConnection& operator=(const EndpointConnection&) = delete;
 
-  /// Its end will be a TCP reset.
+  /// Makes the connection end with a TCP reset when it is closed.
   void resetOnClose();
-  /// Takes the messages that have arrived, until a request is in flight. May destroy the connection.
+  /// Processes the messages that have arrived, until a request is in flight. May destroy the connection.
   void processInput();
 
  private:
@@ -36,7 +37,7 @@
     std::string idempotencyKey;
     const RequestClass* requestClass = nullptr;
     std::uint64_t attemptToken = 0;
-    Time completesAt{};  // 0: it doesn't occupy the machine
+    Time completesAt{};  // 0 if it doesn't occupy the machine
   };
 
   bool readStartup(evbuffer* input);
@@ -49,7 +50,7 @@
   void complete();
   void sendResult(const std::string& value, Time position);
   void sendError(const char* code, const char* text);
-  bool happens(double share) const;
+  bool occursWithProbability(double probability) const;
   void cancelQuery();
   void close();
 
--- a/testbed/endpoint_fleet.cpp
+++ b/testbed/endpoint_fleet.cpp
@@ -5,7 +5,7 @@
 namespace stonebay::testbed {
 namespace {
 
-// Endpoints are spread over the zones in turn.
+// Returns the zone of an endpoint. Zones are assigned round-robin.
 std::string zoneOf(const FleetSettings& settings, int endpoint) {
   if (settings.zones.empty()) return "";
   return settings.zones[static_cast<std::size_t>(endpoint) % settings.zones.size()];
--- a/testbed/endpoint_fleet.hpp
+++ b/testbed/endpoint_fleet.hpp
@@ -22,11 +22,11 @@
 
   const std::vector<RequestClass>& classes() const { return classes_; }
   const std::vector<std::unique_ptr<EndpointServer>>& endpoints() const { return endpoints_; }
-  /// Null if there is none.
+  /// Returns null if no endpoint has this name.
   EndpointServer* findByName(const std::string& name) const;
-  /// Null during a failover. Groups count from 1.
+  /// Returns the primary of a group, numbered from 1, or null during a failover.
   EndpointServer* primary(int group) const;
-  /// Hands the auditors what they get at the end of a run.
+  /// Reports the peak overload of each endpoint to the audit, at the end of a run.
   void finish();
 
  private:
--- a/testbed/endpoint_publisher.hpp
+++ b/testbed/endpoint_publisher.hpp
@@ -1,4 +1,4 @@
-// Publishes the endpoints in the discovery of all proxies.
+// Publishes endpoints in the discovery stand-ins of all proxies.
 #pragma once
 
 #include <cstddef>
@@ -21,13 +21,14 @@
       : context_(context), audit_(audit), proxies_(proxies) {}
 
   void publish(EndpointServer& endpoint) { publish(endpoint, ListingState::Active); }
+  /// Removes the endpoint from the endpoint list.
   void withdraw(EndpointServer& endpoint);
   /// Lists the endpoint as leaving.
   void drain(EndpointServer& endpoint);
-  /// The same endpoint under another name.
+  /// Withdraws the endpoint and publishes it again under another name.
   void rename(EndpointServer& endpoint, const std::string& name);
 
-  /// Between these two, changes are gathered and then sent as one.
+  /// Changes between these two calls are sent as one update.
   void beginChanges();
   void endChanges();
 
--- a/testbed/endpoint_server.cpp
+++ b/testbed/endpoint_server.cpp
@@ -10,7 +10,7 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr int kEndpointsPerPort = 250;  // by the fourth octet of their address
+constexpr int kEndpointsPerPort = 250;  // they differ in the fourth octet of their address
 constexpr int kListenBacklog = 512;
 constexpr unsigned kListenerOptions = LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC;
 
@@ -62,7 +62,8 @@
       },
       listenerContexts_.back().get(), kListenerOptions, kListenBacklog, asSockaddr(listenAddress),
       sizeof listenAddress));
-  if (!listener) throw std::runtime_error("a stand-in cannot listen at " + addressText(listenAddress));
+  if (!listener)
+    throw std::runtime_error("a stand-in endpoint cannot listen at " + addressText(listenAddress));
   listeners_.push_back(std::move(listener));
 }
 
@@ -110,7 +111,7 @@
 void EndpointServer::crashOfOverload(Time now) {
   environment_.audit.onOverloadCrash(now, number_);
   hasCrashed_ = true;
-  // Not at once: the connection that calls this would be destroyed under its own feet.
+  // Deferred to the next pass: `kill` destroys the connection that is calling this function.
   crash_.startIn(Time(0));
 }
 
@@ -128,7 +129,7 @@
   }
   std::vector<EndpointConnection*> connections;
   for (const auto& [connection, owner] : connections_) connections.push_back(connection);
-  // Requests that arrived meanwhile; a connection that ends is removed.
+  // Processes the requests that arrived meanwhile. This may destroy connections, hence the check.
   for (EndpointConnection* const connection : connections)
     if (connections_.count(connection) > 0) connection->processInput();
 }
@@ -139,7 +140,7 @@
     if (isPrimary()) group_.onPrimaryLost();
     return;
   }
-  // The requests that it held are lost.
+  // Requests that are still unanswered are lost.
   closeAll(true);
   listen();
 }
--- a/testbed/endpoint_server.hpp
+++ b/testbed/endpoint_server.hpp
@@ -1,5 +1,5 @@
-// A stand-in endpoint: a server that speaks the PostgreSQL protocol, version 3, on loopback. Many run in one
-// process.
+// A stand-in endpoint: a server that speaks version 3 of the PostgreSQL protocol on loopback. One process
+// runs many of them.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,11 +19,11 @@
 
 class EndpointConnection;
 
-/// Listens at one address for each proxy (127.0.PROXY.ENDPOINT) and at one for clients that connect directly,
-/// so that the address of each connection names the proxy that made it.
+/// Listens on one address per proxy (127.0.PROXY.ENDPOINT) and on one for clients that connect directly, so
+/// that the local address of a connection identifies the proxy that opened it.
 class EndpointServer {
  public:
-  /// Starts to listen, warm. Throws std::runtime_error if an address is taken.
+  /// Starts to listen, without a warm-up. Throws std::runtime_error if an address is taken.
   EndpointServer(const EndpointEnvironment& environment, ReplicaGroup& group, int number, std::string zone,
                  double coreSpeed);
   ~EndpointServer();
@@ -34,10 +34,10 @@
   int number() const { return number_; }  ///< from 1, over all groups
   ReplicaGroup& group() const { return group_; }
   const std::string& zone() const { return zone_; }
-  /// Connections that proxies have made to it.
+  /// Number of connections accepted from proxies.
   double acceptedByProxies() const { return acceptedByProxies_; }
-  Time startedAt() const { return startedAt_; }  ///< 0: before the run
-  /// Where a proxy, numbered from 1, reaches it; 0: where direct clients do.
+  Time startedAt() const { return startedAt_; }  ///< 0 means before the run
+  /// The address for a proxy, numbered from 1, or for direct clients if `proxy` is 0.
   sockaddr_in address(int proxy) const;
 
   bool isPrimary() const { return group_.primary() == this; }
@@ -47,18 +47,19 @@
   bool isResponsive() const { return isRunning_ && !isVanished_ && !isHanging_; }
   double errorShare() const { return errorShare_; }
   double resetShare() const { return resetShare_; }
+  /// The time up to which it has applied all commits; `now` on a primary.
   Time position(Time now);
   Machine& machine() { return *machine_; }
   ReplicaLog& log() { return *log_; }
 
-  // Fault injection, by the experiment's script.
-  /// Its process dies: connections are reset, new ones refused.
+  // Fault injection by the experiment's script.
+  /// Simulates the death of its process: connections are reset and new ones refused.
   void kill();
-  /// Starts it again after a kill; it warms up. Does nothing after an overload crash.
+  /// Restarts it after `kill`, with a warm-up. Does nothing after an overload crash.
   void start();
-  /// It sends nothing more and accepts nothing; its connections stay open.
+  /// While vanished, it sends nothing and accepts no connections; open connections stay open.
   void setVanished(bool vanished);
-  /// It takes requests and answers none of them.
+  /// While hanging, it receives requests but does not answer them.
   void setHanging(bool hanging);
   void setSlowdown(double factor) { machine_->setSlowdown(factor); }
   void setErrorShare(double share) { errorShare_ = share; }
@@ -66,8 +67,8 @@
   void setApplySlowdown(double factor) { log_->setApplySlowdown(factor); }
   void rename(const std::string& name) { name_ = name; }
 
-  // For its connections.
-  /// It dies of overload in the next pass of the loop and doesn't start again.
+  // Called by its connections.
+  /// Kills it in the next pass of the event loop; it can't be restarted.
   void crashOfOverload(Time now);
   /// Destroys the connection.
   void remove(EndpointConnection& connection);
--- a/testbed/json_text.hpp
+++ b/testbed/json_text.hpp
@@ -1,14 +1,14 @@
-// Members of JSON objects, for the stand-in registry.
+// Encodes members of JSON objects for the stand-in registry.
 #pragma once
 
 #include <string>
 
 namespace stonebay::testbed {
 
-/// The text must not need escapes.
+/// Quotes the text, which must not contain characters that need escaping.
 inline std::string jsonString(const std::string& text) { return '"' + text + '"'; }
 
-/// @param value JSON text
+/// @param value encoded JSON value
 inline std::string jsonMember(const std::string& name, const std::string& value) {
   return jsonString(name) + ':' + value;
 }
--- a/testbed/machine.cpp
+++ b/testbed/machine.cpp
@@ -5,7 +5,7 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr double kMinCoreSpeed = 1e-6;  // keeps the time that a piece of work takes finite
+constexpr double kMinCoreSpeed = 1e-6;  // relative to a standard core; keeps durations finite
 
 }  // namespace
 
@@ -34,7 +34,7 @@
     offeredInWindow_ -= offered_.front().work;
     offered_.pop_front();
   }
-  // The rule counts the capacity without a scripted slowdown.
+  // The overload rule refers to the capacity without a scripted slowdown.
   const double windowCapacity =
       capacity(now) * slowdown_ * static_cast<double>(settings_.overloadWindow.count());
   const double overload = offeredInWindow_ / windowCapacity;
@@ -56,7 +56,8 @@
 void Machine::cancel(Time now, Time completesAt) {
   const auto completion = std::find(completions_.begin(), completions_.end(), completesAt);
   if (completion != completions_.end()) completions_.erase(completion);
-  // Work queued behind it on that core keeps its time: cancelled work frees its core only if it was the last.
+  // Work queued behind it on the same core keeps its completion time, so the core becomes free only if the
+  // cancelled work was the last.
   const auto core = std::find(coreFreeAt_.begin(), coreFreeAt_.end(), completesAt);
   if (core != coreFreeAt_.end()) *core = now;
 }
--- a/testbed/machine.hpp
+++ b/testbed/machine.hpp
@@ -1,9 +1,10 @@
-// The capacity of a stand-in endpoint's machine. Pure: times are passed in, nothing is sent.
+// A model of the capacity of a stand-in endpoint's machine. Does no I/O and reads no clock: times are passed
+// in.
 //
-// A machine has cores of one speed, each serving one request at a time, and a queue. After a restart it warms
-// up: its speed rises linearly from a share to the full speed. If it is sent more than `overloadFactor` times
-// its capacity over any `overloadWindow` while it warms up, it crashes and stays down (PROTOCOL, rule 4 of
-// the operators' pages).
+// A machine has a queue and cores of equal speed, each serving one request at a time. After a restart it
+// warms up: its speed rises linearly from `warmUpInitialShare` to the full speed. If the work offered within
+// `overloadWindow` exceeds `overloadFactor` times its capacity while it warms up, it crashes and stays down
+// (rule 4 of the operators' page PROTOCOL).
 #pragma once
 
 #include <cstddef>
@@ -17,9 +18,9 @@
 
 struct MachineSettings {
   int cores = 3;
-  double coreSpeed = 1;             ///< relative to the standard core
-  std::size_t queueCapacity = 200;  ///< requests that may wait
-  double warmUpInitialShare = 0.21;
+  double coreSpeed = 1;              ///< relative to a standard core
+  std::size_t queueCapacity = 200;   ///< requests that may wait for a core
+  double warmUpInitialShare = 0.21;  ///< of the full speed
   Time warmUpDuration = std::chrono::seconds(18);
   double overloadFactor = 2.5;
   Time overloadWindow = std::chrono::milliseconds(1500);
@@ -28,10 +29,10 @@
 /// Work is measured in microseconds of a standard core.
 class Machine {
  public:
-  /// `startsWarm`: it has been running for long and does not warm up.
+  /// @param startsWarm the machine runs at full speed from the start, without a warm-up
   Machine(const MachineSettings& settings, Time startedAt, bool startsWarm);
 
-  /// Standard core-seconds of work a second.
+  /// Standard core-seconds of work per second.
   double capacity(Time now) const;
   bool isWarmingUp(Time now) const { return !startsWarm_ && now < startedAt_ + settings_.warmUpDuration; }
 
@@ -42,14 +43,15 @@
   double peakOverload() const { return peakOverload_; }
 
   /// Reserves a core for work that arrives now.
-  /// @return when it will be done, or nothing if the queue is full.
+  /// @return when the work will be done, or std::nullopt if the queue is full.
   std::optional<Time> enqueue(Time now, double work);
-  /// Stops work that was to be done at `completesAt` and frees its core for the rest of that time.
+  /// Cancels the work that would be done at `completesAt`. Frees its core if no other work is queued behind
+  /// it.
   void cancel(Time now, Time completesAt);
   /// Requests being served or queued.
   std::size_t inFlight(Time now);
 
-  /// With a factor of 4 everything takes four times as long.
+  /// Multiplies the duration of all work that is enqueued from now on.
   void setSlowdown(double factor) { slowdown_ = factor; }
 
  private:
@@ -64,7 +66,7 @@
   const bool startsWarm_;
   double slowdown_ = 1;
   std::deque<Time> coreFreeAt_;
-  std::deque<Time> completions_;  // of all that is in flight, ascending
+  std::deque<Time> completions_;  // of the requests in flight, ascending
   std::deque<OfferedWork> offered_;
   double offeredInWindow_ = 0;
   double peakOverload_ = 0;
--- a/testbed/name_server.cpp
+++ b/testbed/name_server.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 constexpr std::size_t kMaxUdpSizeWithoutEdns = 512;  // RFC 1035 section 4.2.1
-constexpr std::uint16_t kUdpPayload = 4096;          // that this server advertises
+constexpr std::uint16_t kAdvertisedUdpPayloadBytes = 4096;
 constexpr std::size_t kReadBytes = 4096;
-constexpr std::uint32_t kEmptyZoneTtl = 60;
+constexpr std::uint32_t kNxDomainTtlSeconds = 60;
 constexpr std::size_t kTcpLengthBytes = 2;  // RFC 1035 section 4.2.2
 constexpr int kListenBacklog = 64;
 constexpr int kMaxBindAttempts = 50;
 
-// Offsets of RFC 1035 section 4.1.1.
+// Header layout, RFC 1035 section 4.1.1.
 constexpr std::size_t kIdBytes = 2;
-constexpr std::size_t kAnswerCountAt = 6;
+constexpr std::size_t kAnswerCountOffset = 6;
 
 UniqueFd bindSocket(int type, int port) {
   UniqueFd fd(socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -41,32 +41,34 @@
   return response;
 }
 
-std::string noise(const std::string& query) {
+// The id of the query and a response header with impossible record counts, followed by text.
+std::string malformedResponse(const std::string& query) {
   return query.substr(0, kIdBytes) + std::string("\x84\x00\xff\xff\xff\xff noise", 12);
 }
 
-// One answer, whose name is a compression pointer at itself.
-std::string selfReference(const dns::Message& query) {
+// Returns a response with one answer, a PTR record without data, whose name is a compression pointer to
+// itself.
+std::string encodePointerLoop(const dns::Message& query) {
   std::string bytes = dns::encode(errorResponse(query, dns::Rcode::NoError));
-  bytes[kAnswerCountAt + 1] = 1;
-  const std::size_t at = bytes.size();
-  bytes += {static_cast<char>(0xc0 | at >> 8), static_cast<char>(at), 0, 12, 0, 1, 0, 0, 0, 9, 0, 0};
+  bytes[kAnswerCountOffset + 1] = 1;
+  const std::size_t offset = bytes.size();
+  bytes += {static_cast<char>(0xc0 | offset >> 8), static_cast<char>(offset), 0, 12, 0, 1, 0, 0, 0, 9, 0, 0};
   return bytes;
 }
 
-std::string withTooManyAnswersPromised(const dns::Message& response) {
+std::string encodeWithExcessAnswerCount(const dns::Message& response) {
   std::string bytes = dns::encode(response);
-  bytes[kAnswerCountAt] = 0x7f;
+  bytes[kAnswerCountOffset] = 0x7f;
   return bytes;
 }
 
-bool wantsRequests(const ServiceInstance& instance) {
+bool acceptsRequests(const ServiceInstance& instance) {
   return std::find(instance.txt.begin(), instance.txt.end(), "state=leaving") == instance.txt.end();
 }
 
 }  // namespace
 
-// One TCP connection: each message follows its length; queries are answered in order.
+// One TCP connection. Each message is preceded by its length; queries are answered in order.
 class NameServer::TcpConnection {
  public:
   TcpConnection(NameServer& owner, int fd)
@@ -117,7 +119,7 @@
   bindPorts(port);
   otherUdpSocket_ = bindSocket(SOCK_DGRAM, 0);
   if (!udpSocket_.isOpen() || !tcpListener_.isOpen() || !otherUdpSocket_.isOpen())
-    throw std::runtime_error("the name server finds no port");
+    throw std::runtime_error("the stand-in name server cannot bind its sockets");
   udpReadable_.reset(event_new(
       base, udpSocket_.get(), EV_READ | EV_PERSIST,
       [](evutil_socket_t /*fd*/, short /*events*/, void* self) {
@@ -129,7 +131,8 @@
 
 NameServer::~NameServer() = default;
 
-// UDP and TCP use the same port; the system chooses it for UDP, and may have given it away for TCP.
+// UDP and TCP must use the same port. The system chooses it for UDP; if it is taken for TCP, both are bound
+// anew.
 void NameServer::bindPorts(int port) {
   for (int i = 0; i < kMaxBindAttempts && !tcpListener_.isOpen(); ++i) {
     udpSocket_.reset();
@@ -182,8 +185,8 @@
                                                          {"refused", Behavior::Refused},
                                                          {"lame", Behavior::Lame},
                                                          {"noise", Behavior::Noise},
-                                                         {"loop", Behavior::Loop},
-                                                         {"counts", Behavior::Counts},
+                                                         {"loop", Behavior::PointerLoop},
+                                                         {"counts", Behavior::ExcessCounts},
                                                          {"wrong-id", Behavior::WrongId},
                                                          {"wrong-question", Behavior::WrongQuestion},
                                                          {"wrong-port", Behavior::WrongPort},
@@ -211,7 +214,7 @@
   }
 }
 
-// Empty: no answer.
+// Returns the encoded response, or an empty string if none is to be sent.
 std::string NameServer::answer(const std::string& bytes, Transport transport) {
   const auto query = dns::parse(bytes);
   if (!query || query->response || !query->question) return {};
@@ -231,19 +234,19 @@
     case Behavior::Lame:
       return dns::encode(errorResponse(*query, dns::Rcode::NoError));
     case Behavior::Noise:
-      return noise(bytes);
-    case Behavior::Loop:
-      return selfReference(*query);
-    case Behavior::Counts:
-      return withTooManyAnswersPromised(response);
+      return malformedResponse(bytes);
+    case Behavior::PointerLoop:
+      return encodePointerLoop(*query);
+    case Behavior::ExcessCounts:
+      return encodeWithExcessAnswerCount(response);
     case Behavior::WrongId:
       response.id ^= 1;
-      return dns::encode(withEmptyZone(std::move(response)), maxSize);
+      return dns::encode(asNxDomain(std::move(response)), maxSize);
     case Behavior::WrongQuestion:
       response.question->name = "other." + response.question->name;
-      return dns::encode(withEmptyZone(std::move(response)), maxSize);
+      return dns::encode(asNxDomain(std::move(response)), maxSize);
     case Behavior::WrongPort:
-      return dns::encode(withEmptyZone(std::move(response)), maxSize);
+      return dns::encode(asNxDomain(std::move(response)), maxSize);
     case Behavior::Truncated:
     case Behavior::TruncatedOnly:
       return dns::encode(response, isTcp ? maxSize : 0);
@@ -253,11 +256,11 @@
     case Behavior::Good:
       break;
   }
-  return answerTruthfully(*query, response, maxSize);
+  return answerFromZone(*query, response, maxSize);
 }
 
-std::string NameServer::answerTruthfully(const dns::Message& query, const dns::Message& response,
-                                         std::size_t maxSize) {
+std::string NameServer::answerFromZone(const dns::Message& query, const dns::Message& response,
+                                       std::size_t maxSize) {
   std::string bytes = dns::encode(response, maxSize);
   reportList(query, bytes);
   return bytes;
@@ -269,15 +272,15 @@
   response.response = true;
   response.authoritative = true;
   response.question = query.question;
-  response.udpPayload = query.udpPayload > 0 ? kUdpPayload : 0;
+  response.udpPayload = query.udpPayload > 0 ? kAdvertisedUdpPayloadBytes : 0;
   return response;
 }
 
-dns::Message NameServer::withEmptyZone(dns::Message response) const {
+dns::Message NameServer::asNxDomain(dns::Message response) const {
   response.answers.clear();
   response.additionals.clear();
   response.rcode = dns::Rcode::NxDomain;
-  response.authorities = {zone_.soa(kEmptyZoneTtl)};
+  response.authorities = {zone_.soa(kNxDomainTtlSeconds)};
   return response;
 }
 
@@ -287,7 +290,7 @@
   const auto sent = dns::parse(response);
   if (!sent || sent->truncated) return;
   std::map<std::string, bool> list;
-  for (const auto& [label, instance] : zone_.instances()) list[label] = wantsRequests(instance);
+  for (const auto& [label, instance] : zone_.instances()) list[label] = acceptsRequests(instance);
   onListSent(list);
 }
 
--- a/testbed/name_server.hpp
+++ b/testbed/name_server.hpp
@@ -1,6 +1,6 @@
-// A stand-in name server, authoritative for one domain: DNS-SD records of endpoints over UDP and TCP, and
-// misbehaviour on request. Written from the RFCs; it shares only the message codec with the proxy. Loopback
-// addresses only.
+// A stand-in name server, authoritative for one domain. Serves the DNS-SD records of endpoints over UDP and
+// TCP on loopback, and can be told to misbehave. It follows the RFCs and shares only the message codec with
+// the proxy.
 #pragma once
 
 #include <event2/event.h>
@@ -24,41 +24,43 @@
  public:
   enum class Behavior {
     Good,
-    Silent,  ///< takes queries and answers none
+    Silent,  ///< receives queries and sends no response
     ServFail,
     Refused,
     Lame,           ///< NOERROR without records, not authoritative, no SOA
-    Noise,          ///< bytes that are no message
-    Loop,           ///< a name whose compression pointer points at itself
-    Counts,         ///< a header that promises more records than follow
-    WrongId,        ///< the right answer under another id
-    WrongQuestion,  ///< to another question, as if the zone were empty
-    WrongPort,      ///< as if the zone were empty, from another port
-    Truncated,      ///< TC over UDP
-    TruncatedOnly,  ///< TC over UDP, and no TCP
+    Noise,          ///< a response that cannot be parsed
+    PointerLoop,    ///< a name whose compression pointer points at itself
+    ExcessCounts,   ///< a header whose answer count exceeds the answers that follow
+    WrongId,        ///< NXDOMAIN under another message id
+    WrongQuestion,  ///< NXDOMAIN for another question
+    WrongPort,      ///< NXDOMAIN sent from another port
+    Truncated,      ///< truncated (TC) over UDP, complete over TCP
+    TruncatedOnly,  ///< truncated (TC) over UDP; TCP connections are refused
     NoEdns          ///< FORMERR for queries with an OPT record
   };
 
-  /// Listens on 127.0.0.1; port 0: the system chooses one. Throws std::runtime_error if there is no port.
+  /// Listens on 127.0.0.1; with port 0 the system chooses the port. Throws std::runtime_error if a socket
+  /// can't be bound.
   NameServer(event_base* base, const std::string& domain, const std::string& service, int port = 0);
   ~NameServer();
   NameServer(const NameServer&) = delete;
   NameServer& operator=(const NameServer&) = delete;
 
   int port() const { return port_; }
-  /// Adds an instance, or replaces the one of the same label.
+  /// Adds an instance, or replaces the one with the same label.
   void publish(const ServiceInstance& instance) { zone_.publish(instance); }
   void withdraw(const std::string& label) { zone_.withdraw(label); }
   void clear() { zone_.clear(); }
   void setBehavior(Behavior behavior);
-  /// "silent", "wrong-id", ...; false if there is none of that name.
+  /// Sets `behavior` to the one of this name ("silent", "wrong-id", ...). Returns false if there is none.
   static bool findBehavior(const std::string& name, Behavior& behavior);
 
-  /// Called when an answer that names all instances goes out: each label, and whether the instance wants
-  /// requests (false: state=leaving).
+  /// Called when a complete list of instances is sent. Maps each label to whether the instance accepts
+  /// requests; false means that it is listed with state=leaving.
   std::function<void(const std::map<std::string, bool>&)> onListSent;
 
-  struct Counts {  ///< of queries
+  /// Numbers of queries received.
+  struct Counts {
     std::uint64_t udp = 0;
     std::uint64_t tcp = 0;
     std::map<dns::Type, std::uint64_t> types;
@@ -77,16 +79,16 @@
   void onUdpReadable();
 
   std::string answer(const std::string& bytes, Transport transport);
-  std::string answerTruthfully(const dns::Message& query, const dns::Message& response, std::size_t maxSize);
+  std::string answerFromZone(const dns::Message& query, const dns::Message& response, std::size_t maxSize);
   dns::Message newResponse(const dns::Message& query) const;
-  dns::Message withEmptyZone(dns::Message response) const;
+  dns::Message asNxDomain(dns::Message response) const;
   void reportList(const dns::Message& query, const std::string& response) const;
 
   event_base* const base_;
   DnsZone zone_;
   int port_ = 0;
   UniqueFd udpSocket_;
-  UniqueFd otherUdpSocket_;  // for answers from the wrong port
+  UniqueFd otherUdpSocket_;  // sends the responses of Behavior::WrongPort
   UniqueFd tcpListener_;
   Event udpReadable_;
   Event tcpAcceptable_;
--- a/testbed/pg_stream.cpp
+++ b/testbed/pg_stream.cpp
@@ -7,7 +7,7 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr std::size_t kColumnDescriptionBytes = 18;  // of a column, after its name
+constexpr std::size_t kColumnDescriptionBytes = 18;  // fixed-size fields after the column name
 
 std::string encodeInt32(std::uint32_t number) {
   return {static_cast<char>(number >> 24), static_cast<char>(number >> 16), static_cast<char>(number >> 8),
@@ -17,16 +17,16 @@
 }  // namespace
 
 ReadStatus readMessage(evbuffer* input, PgMessage& message) {
-  char headBytes[pg::kMessageHeaderSize];
-  if (evbuffer_copyout(input, headBytes, sizeof headBytes) < static_cast<ev_ssize_t>(sizeof headBytes))
+  char headerBytes[pg::kMessageHeaderSize];
+  if (evbuffer_copyout(input, headerBytes, sizeof headerBytes) < static_cast<ev_ssize_t>(sizeof headerBytes))
     return ReadStatus::Incomplete;
-  const auto head = pg::parseMessageHeader(headBytes);
-  if (!head) return ReadStatus::Malformed;
-  if (evbuffer_get_length(input) < sizeof headBytes + head->bodySize) return ReadStatus::Incomplete;
-  message.type = head->type;
-  message.body.resize(head->bodySize);
-  evbuffer_drain(input, sizeof headBytes);
-  evbuffer_remove(input, message.body.data(), head->bodySize);
+  const auto header = pg::parseMessageHeader(headerBytes);
+  if (!header) return ReadStatus::Malformed;
+  if (evbuffer_get_length(input) < sizeof headerBytes + header->bodySize) return ReadStatus::Incomplete;
+  message.type = header->type;
+  message.body.resize(header->bodySize);
+  evbuffer_drain(input, sizeof headerBytes);
+  evbuffer_remove(input, message.body.data(), header->bodySize);
   return ReadStatus::Complete;
 }
 
--- a/testbed/proxy_process.cpp
+++ b/testbed/proxy_process.cpp
@@ -17,8 +17,8 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr int kExecFailed = 127;      // as shells report it
-constexpr int kSignalExitBase = 128;  // as shells report an end by a signal
+constexpr int kExecFailed = 127;      // exit status that shells use for a failed exec
+constexpr int kSignalExitBase = 128;  // plus the signal number, as in shells
 constexpr std::size_t kReadBytes = 4096;
 
 }  // namespace
@@ -45,11 +45,12 @@
   outputReadable_.reset();
   output_.reset();
   std::array<int, 2> pipeEnds{};
-  if (pipe2(pipeEnds.data(), O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+  if (pipe2(pipeEnds.data(), O_CLOEXEC) != 0)
+    throw std::runtime_error("cannot create a pipe for the output of the proxy process");
   output_ = UniqueFd(pipeEnds[0]);
-  const UniqueFd processEnd(pipeEnds[1]);
+  const UniqueFd writeEnd(pipeEnds[1]);
   pid_ = fork();
-  if (pid_ == 0) execute(processEnd.get());
+  if (pid_ == 0) execute(writeEnd.get());
   fcntl(output_.get(), F_SETFL, O_NONBLOCK);
   outputReadable_.reset(event_new(
       context_.eventBase(), output_.get(), EV_READ | EV_PERSIST,
@@ -60,7 +61,7 @@
   event_add(outputReadable_.get(), nullptr);
 }
 
-// In the child process.
+// Runs in the child process.
 void ProxyProcess::execute(int outputFd) const {
   dup2(outputFd, STDOUT_FILENO);
   dup2(outputFd, STDERR_FILENO);
@@ -86,11 +87,11 @@
   std::ofstream(logPath_, std::ios::app).write(bytes.data(), received);
   if (isReady_) return;
   startupOutput_.append(bytes.data(), static_cast<std::size_t>(received));
-  lookForPort();
+  parseListeningPort();
 }
 
 // The process logs one line with event=listening and its port once clients can connect.
-void ProxyProcess::lookForPort() {
+void ProxyProcess::parseListeningPort() {
   const std::string portField = " port=";
   const std::size_t lineAt = startupOutput_.find("event=listening");
   if (lineAt == std::string::npos || startupOutput_.find('\n', lineAt) == std::string::npos) return;
@@ -121,7 +122,7 @@
 
 double ProxyProcess::cpuSeconds() const {
   if (pid_ <= 0) return 0;
-  // In nanoseconds; /proc/PID/stat counts in hundredths of a second.
+  // schedstat counts in nanoseconds, /proc/PID/stat only in hundredths of a second.
   std::ifstream schedulerStatistics("/proc/" + std::to_string(pid_) + "/schedstat");
   double nanoseconds = 0;
   schedulerStatistics >> nanoseconds;
--- a/testbed/proxy_process.hpp
+++ b/testbed/proxy_process.hpp
@@ -13,38 +13,41 @@
  public:
   using ReadyHandler = std::function<void(int port)>;
 
-  /// @param settingsPath the file for `serve --config`
-  /// @param logPath where the process's output is appended
+  /// @param settingsPath the file passed to `serve --config`
+  /// @param logPath the file to which the process's output is appended
   ProxyProcess(const RunContext& context, std::string program, std::string settingsPath, std::string logPath);
   /// Kills the process.
   ~ProxyProcess();
   ProxyProcess(const ProxyProcess&) = delete;
   ProxyProcess& operator=(const ProxyProcess&) = delete;
 
-  /// Does nothing if it is running. `onReady` is called once it listens. Throws std::runtime_error if there
-  /// is no pipe for its output.
+  /// Starts the process unless it is running. `onReady` is called with its port once it listens. Throws
+  /// std::runtime_error if no pipe can be created for its output.
   void start(ReadyHandler onReady);
-  /// Preloads the library of system call faults into the processes that start from now on. `faults`: as the
-  /// library reads them; may be empty. `clockFile`: where it reads the offset of the wall clock.
+  /// Preloads the system call shim into the processes that start from now on.
+  /// @param faults value of STONEBAY_SHIM_FAULTS; may be empty
+  /// @param clockFile value of STONEBAY_SHIM_CLOCK: the file with the offset of the wall clock
   void setFaults(std::string faults, std::string clockFile);
   void sendSignal(int signal) const;
-  /// Sends SIGKILL and waits for the end.
+  /// Sends SIGKILL and waits until the process has ended.
   void kill();
   bool isRunning();
-  /// Of the last process that ended by itself: its exit status, or 128 and the signal; -1: there is none.
+  /// Exit status of the last process that ended other than through `kill`: its exit code, or 128 plus the
+  /// signal number. -1 if there is none.
   int exitStatus() const { return exitStatus_; }
-  /// Of the running process; 0 if there is none.
+  /// CPU time of the running process; 0 if there is none.
   double cpuSeconds() const;
+  /// Resident memory of the running process; 0 if there is none.
   double residentMb() const;
-  /// The most that the running process has had; 0 if there is none.
+  /// Peak resident memory of the running process; 0 if there is none.
   double peakResidentMb() const;
-  /// Open descriptors.
+  /// Number of open file descriptors.
   double descriptors() const;
 
  private:
   [[noreturn]] void execute(int outputFd) const;
   void onOutput();
-  void lookForPort();
+  void parseListeningPort();
   double memoryMb(const std::string& field) const;
 
   const RunContext& context_;
@@ -52,7 +55,7 @@
   const std::string settingsPath_;
   const std::string logPath_;
   std::string faults_;
-  std::string clockFile_;  // empty: nothing is preloaded
+  std::string clockFile_;  // if empty, the shim is not preloaded
   ReadyHandler onReady_;
   int pid_ = -1;
   int exitStatus_ = -1;
--- a/testbed/proxy_settings.hpp
+++ b/testbed/proxy_settings.hpp
@@ -7,13 +7,13 @@
 
 namespace stonebay::testbed {
 
-/// The complete INI text, with the experiment's own settings merged in.
-/// @param proxy from 1
-/// @param discoverySettings keys of [discovery] and further sections
+/// Returns the complete INI text, with the experiment's proxy settings merged in.
+/// @param proxy number of the proxy, from 1
+/// @param discoverySettings keys of [discovery], optionally followed by further sections
 std::string proxySettings(const Experiment& experiment, int proxy, const std::string& discoverySettings);
 
-/// Inserts the lines of `additions` into the sections of the same name; sections that `settings` lacks are
-/// appended.
+/// Returns `settings` with the lines of `additions` inserted into the sections of the same name. Sections
+/// that `settings` lacks are appended.
 std::string mergeSettings(std::string settings, const std::string& additions);
 
 }  // namespace stonebay::testbed
--- a/testbed/proxy_under_test.cpp
+++ b/testbed/proxy_under_test.cpp
@@ -11,7 +11,7 @@
 namespace stonebay::testbed {
 namespace {
 
-// A proxy's part of the experiment's load.
+// The share of the experiment's load that one proxy gets.
 LoadSettings loadOfOneProxy(const Experiment& experiment) {
   LoadSettings load = experiment.load;
   load.rate /= experiment.proxies;
@@ -20,7 +20,8 @@
   return load;
 }
 
-constexpr Time kKillCrossing = std::chrono::milliseconds(100);
+// Requests sent this shortly before a kill may not have reached the process in time.
+constexpr Time kKillExcuseWindow = std::chrono::milliseconds(100);
 
 bool usesShim(const Experiment& experiment) {
   const auto setsClock = [](const ScriptStep& step) { return step.action == ScriptAction::Clock; };
@@ -63,7 +64,7 @@
 }
 
 void ProxyUnderTest::terminate() {
-  countEndedProcess();
+  addCpuOfEndedProcess();
   isTerminating_ = true;
   process_.sendSignal(SIGTERM);
 }
@@ -71,13 +72,13 @@
 void ProxyUnderTest::addCrowd(int clients) {
   const sockaddr_in target = loopbackAddress(port_);
   for (; clients > 0; --clients) {
-    crowd_.emplace_back(bufferevent_socket_new(context_.eventBase(), -1, BEV_OPT_CLOSE_ON_FREE));
-    bufferevent_enable(crowd_.back().get(), EV_READ);
-    bufferevent_socket_connect(crowd_.back().get(), asSockaddr(target), sizeof target);
+    idleClients_.emplace_back(bufferevent_socket_new(context_.eventBase(), -1, BEV_OPT_CLOSE_ON_FREE));
+    bufferevent_enable(idleClients_.back().get(), EV_READ);
+    bufferevent_socket_connect(idleClients_.back().get(), asSockaddr(target), sizeof target);
   }
 }
 
-// Replaced as a whole: the process may read the file at any time.
+// Replaces the file atomically because the process may read it at any time.
 void ProxyUnderTest::setClockOffset(const std::string& milliseconds) const {
   const std::string next = clockPath_ + ".next";
   std::ofstream(next) << milliseconds;
@@ -87,15 +88,16 @@
 void ProxyUnderTest::reload() { process_.sendSignal(SIGHUP); }
 
 void ProxyUnderTest::kill() {
-  countEndedProcess();
-  totalOfEndedProcesses_ += process_.cpuSeconds();
-  // After SIGTERM only what arrives in the very moment of the kill may go unanswered.
-  clients_.onProxyKilled(isTerminating_ ? context_.now() - kKillCrossing : Time(0));
+  addCpuOfEndedProcess();
+  totalCpuOfKilledProcesses_ += process_.cpuSeconds();
+  // A process that got SIGTERM must still answer its requests, so only those sent just before the kill are
+  // excused. Without SIGTERM all requests are.
+  clients_.onProxyKilled(isTerminating_ ? context_.now() - kKillExcuseWindow : Time(0));
   process_.kill();
 }
 
-void ProxyUnderTest::countEndedProcess() {
-  cpuOfEndedProcesses_ += process_.cpuSeconds() - cpuAtMeasurementStart_;
+void ProxyUnderTest::addCpuOfEndedProcess() {
+  measuredCpuOfEndedProcesses_ += process_.cpuSeconds() - cpuAtMeasurementStart_;
   cpuAtMeasurementStart_ = 0;
 }
 
--- a/testbed/proxy_under_test.hpp
+++ b/testbed/proxy_under_test.hpp
@@ -1,4 +1,4 @@
-// One proxy of a run, with all that belongs to it: its process, its stand-in of discovery and its clients.
+// One proxy of a run, with its process, its discovery stand-in and its clients.
 #pragma once
 
 #include <memory>
@@ -18,35 +18,39 @@
 
 class ProxyUnderTest {
  public:
-  /// Starts the stand-in of discovery; the process starts with `start`.
-  /// @param directory for the process's settings and log
-  /// @param number from 1
+  /// Starts the discovery stand-in. The process is started by `start`.
+  /// @param directory where the process's settings and log are written
+  /// @param number number of the proxy, from 1
   ProxyUnderTest(RunContext& context, RunAudit& audit, const EndpointFleet& fleet,
                  const Experiment& experiment, const std::string& program, const std::string& directory,
                  int number);
 
   int number() const { return number_; }
-  /// Starts the process, also after its end.
+  /// Starts the process, or restarts it after it has ended.
   void start();
   /// Sends SIGTERM.
   void terminate();
   /// Sends SIGHUP.
   void reload();
+  /// Sends SIGKILL and waits until the process has ended.
   void kill();
-  /// So many clients connect and send nothing.
+  /// Opens this number of client connections, which send no requests.
   void addCrowd(int clients);
-  /// Makes the wall clock of its processes wrong by so many milliseconds.
+  /// Sets the offset, in milliseconds, that is added to the wall clock of its process.
   void setClockOffset(const std::string& milliseconds) const;
+  /// Whether a process has ever reported that it listens.
   bool hasStarted() const { return hasStarted_; }
-  /// Whether the process has ended by itself, with an error.
+  /// Whether no process is running and the last recorded exit status is not 0.
   bool hasCrashed() { return !process_.isRunning() && process_.exitStatus() != 0; }
 
-  /// Starts to count CPU time.
+  /// Starts measuring the CPU time that `cpuSeconds` returns.
   void startMeasuring() { cpuAtMeasurementStart_ = process_.cpuSeconds(); }
-  /// Of all processes that this proxy has had, from their starts.
-  double totalCpuSeconds() const { return totalOfEndedProcesses_ + process_.cpuSeconds(); }
-  /// Since startMeasuring, over all processes that this proxy has had.
-  double cpuSeconds() const { return process_.cpuSeconds() - cpuAtMeasurementStart_ + cpuOfEndedProcesses_; }
+  /// CPU time of the running process and of all killed ones, each from its start.
+  double totalCpuSeconds() const { return totalCpuOfKilledProcesses_ + process_.cpuSeconds(); }
+  /// CPU time since `startMeasuring`, of the running process and all earlier ones.
+  double cpuSeconds() const {
+    return process_.cpuSeconds() - cpuAtMeasurementStart_ + measuredCpuOfEndedProcesses_;
+  }
   double residentMb() const { return process_.residentMb(); }
   double peakResidentMb() const { return process_.peakResidentMb(); }
   double descriptors() const { return process_.descriptors(); }
@@ -57,7 +61,7 @@
   const LoadGenerator& clients() const { return clients_; }
 
  private:
-  void countEndedProcess();
+  void addCpuOfEndedProcess();
 
   const int number_;
   const Experiment& experiment_;
@@ -68,13 +72,13 @@
   ProxyProcess process_;
   CpuThrottle throttle_;
   LoadGenerator clients_;
-  std::vector<BufferEvent> crowd_;
+  std::vector<BufferEvent> idleClients_;
   int port_ = 0;
   bool isTerminating_ = false;
   bool hasStarted_ = false;
   double cpuAtMeasurementStart_ = 0;
-  double cpuOfEndedProcesses_ = 0;
-  double totalOfEndedProcesses_ = 0;
+  double measuredCpuOfEndedProcesses_ = 0;
+  double totalCpuOfKilledProcesses_ = 0;
 };
 
 }  // namespace stonebay::testbed
--- a/testbed/registry_server.cpp
+++ b/testbed/registry_server.cpp
@@ -13,10 +13,10 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr Time kHeartbeatInterval = std::chrono::seconds(2);  // of a watch without changes
+constexpr Time kHeartbeatInterval = std::chrono::seconds(2);  // on a watch without changes
 constexpr int kListenBacklog = 64;
-constexpr const char* kUnavailable = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-constexpr const char* kOk = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+constexpr const char* kUnavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+constexpr const char* kOkHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 constexpr const char* kLastChunk = "0\r\n\r\n";
 
 std::string chunk(const std::string& text) {
@@ -25,7 +25,7 @@
   return size + text + "\r\n";
 }
 
-// The value of the query parameter "after"; 0 if there is none.
+// Returns the value of the query parameter "after", or 0 if there is none.
 std::uint64_t afterParameter(const std::string& request) {
   const std::string name = "after=";
   const std::size_t at = request.find(name);
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-// One HTTP connection with one request.
+// One HTTP connection, which serves one request.
 class RegistryServer::Connection {
  public:
   Connection(RegistryServer& registry, evutil_socket_t fd)
@@ -77,13 +77,14 @@
   void onRequest(const std::string& request) {
     if (registry_.isDown_) {
       closesWhenWritten_ = true;
-      return write(connection_.get(), kUnavailable);
+      return write(connection_.get(), kUnavailableResponse);
     }
     isWatch_ = request.find("watch=1") != std::string::npos;
-    write(connection_.get(), kOk);
+    write(connection_.get(), kOkHeader);
     const std::uint64_t after = afterParameter(request);
-    const bool wantsAll = after == 0 || after > registry_.generation_ || after < registry_.historyStart_;
-    sendList(after, wantsAll ? Scope::AllInstances : Scope::ChangesOnly);
+    const bool needsCompleteList =
+        after == 0 || after > registry_.generation_ || after < registry_.historyStart_;
+    sendList(after, needsCompleteList ? Scope::AllInstances : Scope::ChangesOnly);
     if (isWatch_) return;
     closesWhenWritten_ = true;
     write(connection_.get(), kLastChunk);
@@ -119,7 +120,7 @@
       },
       this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, kListenBacklog, asSockaddr(address),
       sizeof address));
-  if (!listener_) throw std::runtime_error("the stand-in registry finds no port");
+  if (!listener_) throw std::runtime_error("the stand-in registry cannot listen");
   port_ = boundPort(evconnlistener_get_fd(listener_.get()));
 }
 
@@ -135,9 +136,9 @@
   const bool all = scope == Scope::AllInstances;
   std::string instances;
   for (const auto& [name, entry] : entries_) {
-    const bool isLeftOut = all ? entry.withdrawn : entry.generation <= afterGeneration;
-    if (!isLeftOut) instances += (instances.empty() ? "{" : ",{") + entry.json + "}";
-    if (all || !isLeftOut) onListing_(name, entry.listed && !entry.withdrawn);
+    const bool isOmitted = all ? entry.withdrawn : entry.generation <= afterGeneration;
+    if (!isOmitted) instances += (instances.empty() ? "{" : ",{") + entry.json + "}";
+    if (all || !isOmitted) onListing_(name, entry.listed && !entry.withdrawn);
   }
   listBytes_ += instances.size();
   return '{' + jsonMember("generation", std::to_string(generation_)) + ',' +
@@ -158,7 +159,7 @@
 }
 
 void RegistryServer::notifyWatches() {
-  if (isDown_ || gathersChanges_) return;
+  if (isDown_ || isBatchingChanges_) return;
   for (const auto& [connection, owner] : connections_) connection->onChange();
 }
 
@@ -173,7 +174,7 @@
 }
 
 void RegistryServer::endChanges() {
-  gathersChanges_ = false;
+  isBatchingChanges_ = false;
   notifyWatches();
 }
 
--- a/testbed/registry_server.hpp
+++ b/testbed/registry_server.hpp
@@ -1,5 +1,5 @@
-// A stand-in HTTP registry: the complete list of instances, or a watch on its changes, as the platform's
-// pages describe them.
+// A stand-in HTTP registry. Serves the complete list of instances or a watch on its changes, as described in
+// the platform's pages.
 #pragma once
 
 #include <cstdint>
@@ -13,32 +13,34 @@
 
 namespace stonebay::testbed {
 
-/// Serves one proxy, so that each proxy can be notified at a time of its own.
+/// Serves one proxy. Each proxy has its own registry and can be notified at a different time.
 class RegistryServer {
  public:
-  /// Called for each instance when a list or a change is sent: its name, and whether it may be sent requests.
+  /// Called for each instance when a list or a change that covers it is sent. `listed` is false if the
+  /// instance is leaving or withdrawn.
   using ListingHandler = std::function<void(const std::string& name, bool listed)>;
 
-  /// Listens on 127.0.0.1, at a port of the system's choice. Throws std::runtime_error if there is none.
+  /// Listens on 127.0.0.1 at a port chosen by the system. Throws std::runtime_error if it can't listen.
   RegistryServer(const RunContext& context, ListingHandler onListing);
   ~RegistryServer();
   RegistryServer(const RegistryServer&) = delete;
   RegistryServer& operator=(const RegistryServer&) = delete;
 
   int port() const { return port_; }
-  /// Adds or replaces an instance and notifies the watches.
+  /// Adds or replaces an instance and sends the change to the watches.
   /// @param json the instance's JSON object, without its braces
-  /// @param listed whether it may be sent requests
+  /// @param listed whether proxies may send it requests
   void publish(const std::string& name, const std::string& json, bool listed);
   void withdraw(const std::string& name);
-  /// While it is down, watches end and new requests get status 503.
+  /// Going down ends the watches. While it is down, new requests get status 503.
   void setDown(bool down);
-  /// Ends the watches and forgets the history of changes: watches get a complete list, whatever they know.
+  /// Ends the watches and drops the history of changes, so that new watches get a complete list whatever
+  /// generation they have.
   void restart();
-  /// Between these two, changes are gathered and then sent as one.
-  void beginChanges() { gathersChanges_ = true; }
+  /// Changes between these two calls are sent as one update.
+  void beginChanges() { isBatchingChanges_ = true; }
   void endChanges();
-  /// Sent so far.
+  /// Bytes of instance lists sent so far.
   std::uint64_t listBytes() const { return listBytes_; }
 
  private:
@@ -62,9 +64,9 @@
   int port_ = 0;
   bool isDown_ = false;
   std::uint64_t generation_ = 1;
-  std::uint64_t historyStart_ = 0;  // changes before this generation are forgotten
+  std::uint64_t historyStart_ = 0;  // requests after an older generation get a complete list
   std::uint64_t listBytes_ = 0;
-  bool gathersChanges_ = false;
+  bool isBatchingChanges_ = false;
   std::map<std::string, Entry> entries_;  // by name
   std::unordered_map<Connection*, std::unique_ptr<Connection>> connections_;
   Listener listener_;
--- a/testbed/replica_group.hpp
+++ b/testbed/replica_group.hpp
@@ -17,15 +17,15 @@
   ReplicaGroup(const EndpointEnvironment& environment, int number);
 
   int number() const { return number_; }  ///< from 1
-  /// The first endpoint that is added is the primary.
+  /// Adds an endpoint. The first one becomes the primary.
   void add(EndpointServer& endpoint);
-  /// Null during a failover.
+  /// Returns null during a failover.
   EndpointServer* primary() const { return primary_; }
 
-  /// The positions of the replicas stand still until one of them takes over.
+  /// Starts a failover. The replicas receive no further commits until one of them becomes the primary.
   void onPrimaryLost();
-  /// Executes a write on the primary. It has no effect if its idempotency key was applied within the class's
-  /// deduplication window.
+  /// Executes a write on the primary. A write whose idempotency key was already applied within the class's
+  /// deduplication window has no effect.
   void applyWrite(const RequestClass& requestClass, const std::string& idempotencyKey, Time now);
 
  private:
--- a/testbed/replica_log.cpp
+++ b/testbed/replica_log.cpp
@@ -23,7 +23,8 @@
     pending_.pop_front();
   }
   if (disconnected_) return lastPosition_;
-  // Without pending commits it has all that was shipped; otherwise all before the oldest pending one.
+  // Without pending commits, everything shipped so far has been applied; otherwise everything before the
+  // oldest pending commit.
   Time appliedUpTo = now - shippingDelay_;
   if (!pending_.empty()) appliedUpTo = std::min(pending_.front().committedAt - Time(1), appliedUpTo);
   lastPosition_ = std::max(lastPosition_, appliedUpTo);
--- a/testbed/replica_log.hpp
+++ b/testbed/replica_log.hpp
@@ -1,4 +1,4 @@
-// Log replication to one replica. Pure: times are passed in, nothing is sent.
+// A model of log replication to one replica. Does no I/O and reads no clock: times are passed in.
 #pragma once
 
 #include <deque>
@@ -7,21 +7,23 @@
 
 namespace stonebay::testbed {
 
-/// A replica receives the primary's log and applies it with one thread. Its position is the instant up to
-/// which it has applied all commits.
+/// A replica receives the primary's log and applies it with one thread. Its position is the time up to which
+/// it has applied all commits.
 class ReplicaLog {
  public:
   ReplicaLog(Time shippingDelay, Time applyDuration)
       : shippingDelay_(shippingDelay), applyDuration_(applyDuration) {}
 
-  /// A commit on the primary.
+  /// Records a commit on the primary.
   void commit(Time at);
+  /// Multiplies the apply duration of the commits that follow.
   void setApplySlowdown(double factor) { applySlowdown_ = factor; }
-  /// While disconnected from the primary its position stands still.
+  /// While disconnected from the primary, the replica receives no commits and its position advances only by
+  /// applying those already pending.
   void setDisconnected(bool disconnected, Time now);
-  /// Everything that was committed before this instant has been applied.
+  /// The time up to which all commits have been applied.
   Time position(Time now);
-  /// Drops what is pending and continues from a position.
+  /// Drops the pending commits and continues from `position`.
   void restartFrom(Time position, Time now);
 
  private:
--- a/testbed/socket_address.hpp
+++ b/testbed/socket_address.hpp
@@ -8,18 +8,18 @@
 
 namespace stonebay::testbed {
 
-/// 127.0.THIRD.FOURTH:port. Endpoints listen at an address of their own for each proxy, so that the address
-/// at which a connection arrives names the proxy that made it.
+/// Returns 127.0.THIRD.FOURTH:port. Endpoints listen on a separate address for each proxy, so that the local
+/// address of a connection identifies the proxy that opened it.
 sockaddr_in loopbackAddress(int thirdOctet, int fourthOctet, int port);
-/// 127.0.0.1:port; port 0 lets the system choose.
+/// Returns 127.0.0.1:port. With port 0, the system chooses the port when a socket is bound.
 sockaddr_in loopbackAddress(int port);
 
-std::string hostText(const sockaddr_in& address);     ///< "127.0.1.7"
-std::string addressText(const sockaddr_in& address);  ///< "127.0.1.7:5432"
+std::string hostText(const sockaddr_in& address);     ///< such as "127.0.1.7"
+std::string addressText(const sockaddr_in& address);  ///< such as "127.0.1.7:5432"
 
-/// The form in which the socket calls take an address.
+/// Casts to the type that the socket functions expect.
 const sockaddr* asSockaddr(const sockaddr_in& address);
-/// The port at which a socket is bound.
+/// Returns the port to which a socket is bound.
 int boundPort(int fd);
 
 }  // namespace stonebay::testbed
--- a/testbed/unique_fd.hpp
+++ b/testbed/unique_fd.hpp
@@ -1,4 +1,4 @@
-// A file descriptor with one owner.
+// A file descriptor with a unique owner.
 #pragma once
 
 #include <unistd.h>
@@ -7,7 +7,7 @@
 
 namespace stonebay::testbed {
 
-/// Closes its descriptor when it is destroyed.
+/// Closes the descriptor on destruction.
 class UniqueFd {
  public:
   UniqueFd() = default;
