--- a/fuzz/dns.cpp
+++ b/fuzz/dns.cpp
@@ -1,4 +1,5 @@
-// DNS answers from anyone: read, written again, and read to the same.
+// Fuzzes the DNS message parser: a message that was parsed and encoded again must parse again, with the same
+// ID and no more answers.
 #include <cstdlib>
 #include <string>
 
@@ -8,20 +9,21 @@
 using namespace stonebay;
 
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  const auto m = dns::parse({reinterpret_cast<const char*>(data), size});
-  if (!m) return 0;
-  for (const auto* section : {&m->answers, &m->authorities, &m->additionals})
-    for (const dns::Record& r : *section) {
-      if (r.name.empty() || r.ttl > 0x7fffffff) std::abort();
-      dns::firstLabel(r.name);
-      dns::isWithin(r.name, "example.org.");
-      if (const auto* name = std::get_if<dns::Name>(&r.data);
+  const auto message = dns::parse({reinterpret_cast<const char*>(data), size});
+  if (!message) return 0;
+  for (const auto* section : {&message->answers, &message->authorities, &message->additionals})
+    for (const dns::Record& record : *section) {
+      if (record.name.empty() || record.ttl > 0x7fffffff) std::abort();
+      dns::firstLabel(record.name);
+      dns::isWithin(record.name, "example.org.");
+      if (const auto* name = std::get_if<dns::Name>(&record.data);
           name && !name->empty() && !dns::parseName(*name))
-        std::abort();  // a name that was read is a name
+        std::abort();  // a name from a parsed message must be valid
     }
-  const std::string again = dns::encode(*m);
-  if (again.empty()) return 0;
-  const auto back = dns::parse(again);
-  if (!back || back->id != m->id || back->answers.size() > m->answers.size()) std::abort();
+  const std::string encoded = dns::encode(*message);
+  if (encoded.empty()) return 0;
+  const auto reparsed = dns::parse(encoded);
+  if (!reparsed || reparsed->id != message->id || reparsed->answers.size() > message->answers.size())
+    std::abort();
   return 0;
 }
--- a/fuzz/list.cpp
+++ b/fuzz/list.cpp
@@ -1,4 +1,5 @@
-// The HTTP registry's answer, in pieces whose sizes the input chooses, and the lists in it.
+// Fuzzes the parsers of the registry's HTTP response and of the endpoint lists in it. The first byte of the
+// input determines the size of the pieces in which the parsers receive the rest.
 #include <string>
 
 #include "codec/http/http.hpp"
@@ -9,17 +10,17 @@
 
 int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
-  const std::size_t step = 1 + data[0];
+  const std::size_t pieceSize = 1 + data[0];
   const std::string_view text(reinterpret_cast<const char*>(data) + 1, size - 1);
   http::Response response;
   std::string body;
-  for (std::size_t at = 0; at < text.size(); at += step)
-    if (!response.feed(text.substr(at, step), body)) break;
-  if (body.empty()) body = std::string(text);  // lists themselves, too
-  EndpointListReader lists;
+  for (std::size_t offset = 0; offset < text.size(); offset += pieceSize)
+    if (!response.feed(text.substr(offset, pieceSize), body)) break;
+  if (body.empty()) body = std::string(text);  // the input may also be a list without an HTTP response
+  EndpointListReader reader;
   try {
-    for (std::size_t at = 0; at < body.size(); at += step)
-      lists.feed(std::string_view(body).substr(at, step), [](EndpointListUpdate) {});
+    for (std::size_t offset = 0; offset < body.size(); offset += pieceSize)
+      reader.feed(std::string_view(body).substr(offset, pieceSize), [](EndpointListUpdate) {});
   } catch (const InvalidInput&) {
   }
   return 0;
--- a/fuzz/pg.cpp
+++ b/fuzz/pg.cpp
@@ -1,5 +1,5 @@
-// PostgreSQL messages from either side: headers, errors, parameters, rows, tags and the comment of a
-// statement.
+// Fuzzes the parsers of PostgreSQL messages from clients and servers: headers, errors, parameters, rows,
+// command tags and the comment of a statement.
 #include "codec/pg/pg.hpp"
 
 #include <algorithm>
@@ -40,8 +40,8 @@
   pg::parseQuotedKey(text);
   const pg::StatementComment comment = pg::parseStatementComment(text);
   if (comment.error) return;
-  const bool deadlineOutside = comment.deadlineOffset + comment.deadlineLength > text.size();
-  if (comment.requestId.empty() || deadlineOutside) std::abort();
+  const bool isDeadlineOutOfRange = comment.deadlineOffset + comment.deadlineLength > text.size();
+  if (comment.requestId.empty() || isDeadlineOutOfRange) std::abort();
 }
 
 }  // namespace
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,5 +1,6 @@
-// Runs a fuzz target on a folder of inputs, then on a fixed number of seeded mutations of them: bytes
-// changed, cut or doubled, and pieces of one input inserted into another. Every run plays the same inputs.
+// Runs a fuzz target on all inputs in a directory, then on a given number of mutations of them. A mutation
+// changes a byte, truncates the input, repeats or erases a part of it, or inserts a part of another input.
+// The random seed is fixed, so every run uses the same inputs.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -15,13 +16,13 @@
 namespace {
 
 constexpr std::uint64_t kSeed = 20261201;
-constexpr std::uint32_t kMaxChanges = 4;      // in one mutation
-constexpr std::uint32_t kMaxPiece = 64;       // bytes inserted by one change
-constexpr std::uint32_t kMaxErasedPart = 16;  // bytes erased by one change
+constexpr std::uint32_t kMaxChangesPerMutation = 4;
+constexpr std::uint32_t kMaxInsertedBytes = 64;  // by one change
+constexpr std::uint32_t kMaxErasedBytes = 16;    // by one change
 
-std::vector<std::string> readInputs(const char* folder) {
+std::vector<std::string> readInputs(const char* directory) {
   std::vector<std::filesystem::path> files;
-  for (const auto& entry : std::filesystem::directory_iterator(folder)) files.push_back(entry.path());
+  for (const auto& entry : std::filesystem::directory_iterator(directory)) files.push_back(entry.path());
   std::sort(files.begin(), files.end());
   std::vector<std::string> inputs;
   for (const auto& path : files) {
@@ -40,33 +41,36 @@
   explicit Mutator(const std::vector<std::string>& inputs) : inputs_(inputs) {}
 
   std::string next() {
-    std::string input = inputs_[below(inputs_.size())];
-    for (auto changes = 1 + below(kMaxChanges); changes > 0 && !input.empty(); --changes) change(input);
+    std::string input = inputs_[randomBelow(inputs_.size())];
+    for (auto changes = 1 + randomBelow(kMaxChangesPerMutation); changes > 0 && !input.empty(); --changes)
+      change(input);
     return input;
   }
 
  private:
-  std::uint32_t below(std::size_t bound) {
+  std::uint32_t randomBelow(std::size_t bound) {
     return bound == 0 ? 0 : random_(static_cast<std::uint32_t>(bound));
   }
 
   void change(std::string& input) {
-    switch (below(5)) {
+    switch (randomBelow(5)) {
       case 0:
-        input[below(input.size())] = static_cast<char>(random_());
+        input[randomBelow(input.size())] = static_cast<char>(random_());
         break;
       case 1:
-        input.resize(below(input.size()) + 1);
+        input.resize(randomBelow(input.size()) + 1);
         break;
       case 2:
-        input.insert(below(input.size()), input.substr(below(input.size()), below(kMaxPiece)));
+        input.insert(randomBelow(input.size()),
+                     input.substr(randomBelow(input.size()), randomBelow(kMaxInsertedBytes)));
         break;
       case 3:
-        input.erase(below(input.size()), below(kMaxErasedPart));
+        input.erase(randomBelow(input.size()), randomBelow(kMaxErasedBytes));
         break;
       default: {
-        const std::string& other = inputs_[below(inputs_.size())];
-        input.insert(below(input.size()), other.substr(below(other.size()), below(kMaxPiece)));
+        const std::string& other = inputs_[randomBelow(inputs_.size())];
+        input.insert(randomBelow(input.size()),
+                     other.substr(randomBelow(other.size()), randomBelow(kMaxInsertedBytes)));
       }
     }
   }
@@ -79,7 +83,7 @@
 
 int main(int argc, char** argv) {
   if (argc < 3) {
-    std::fprintf(stderr, "usage: %s FOLDER MUTATIONS\n", argv[0]);
+    std::fprintf(stderr, "usage: %s DIRECTORY MUTATIONS\n", argv[0]);
     return 2;
   }
   const std::vector<std::string> inputs = readInputs(argv[1]);
--- a/fuzz/target.hpp
+++ b/fuzz/target.hpp
@@ -1,5 +1,5 @@
-// Each fuzz target defines this one function: libFuzzer calls it (-DSTONEBAY_FUZZ=ON, clang), and so does
-// replay.cpp, which plays a kept corpus and a fixed number of seeded mutations of it for CI.
+// The function that each fuzz target defines. libFuzzer calls it in builds with -DSTONEBAY_FUZZ=ON and clang;
+// otherwise replay.cpp calls it for each input of the corpus and for seeded mutations of them.
 #pragma once
 
 #include <cstddef>
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,4 +1,4 @@
-// A real proxy on a small share of a core, in front of a few or of thousands of stand-in endpoints.
+// Runs a real proxy on a small share of a core with hundreds or thousands of stand-in endpoints.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -10,17 +10,18 @@
 namespace stonebay::testbed {
 namespace {
 
-constexpr int kUsualGroups = 40;  // of five endpoints
+constexpr int kTypicalGroups = 40;  // of five endpoints each
 constexpr int kManyGroups = 640;
-// A build with sanitizers takes many times the CPU.
+// Sanitizers multiply the CPU time that the proxy needs.
 #ifdef __SANITIZE_ADDRESS__
 constexpr double kCpuShare = 1;
 #else
 constexpr double kCpuShare = 0.1;
 #endif
 
-// Complete lists, a long change and an outage of discovery under clients of which some leave, cancel or wait
-// only briefly. An answer up to half a second after its time only earns nothing.
+// The registry sends complete lists and a large change and has an outage, while some clients disconnect,
+// cancel or use short deadlines. A response up to 500 ms after its deadline earns no weight, but is not
+// counted as lost.
 constexpr const char* kExperiment = R"(
 [experiment]
 discovery = registry
@@ -78,9 +79,9 @@
     RunOptions options;
     options.program = STONEBAY_PROGRAM;
     options.directory = directory_;
-    ExperimentRun day(experiment, options);
-    Figures figures = day.run().figures;
-    for (const Violation& violation : day.audit().violations())
+    ExperimentRun experimentRun(experiment, options);
+    Figures figures = experimentRun.run().figures;
+    for (const Violation& violation : experimentRun.audit().violations())
       ADD_FAILURE() << toSeconds(violation.at) << " s, " << figureName(violation.rule) << ": "
                     << violation.description;
     return figures;
@@ -98,9 +99,9 @@
   char directory_[32] = "/tmp/stonebay-fleet-XXXXXX";
 };
 
-TEST_F(LargeFleet, OfTheUsualSizeLosesNoRequest) { expectNothingLost(kUsualGroups); }
+TEST_F(LargeFleet, LosesNoRequestWithHundredsOfEndpoints) { expectNothingLost(kTypicalGroups); }
 
-TEST_F(LargeFleet, OfThousandsOfEndpointsLosesNoRequestWhileListsArrive) { expectNothingLost(kManyGroups); }
+TEST_F(LargeFleet, LosesNoRequestWithThousandsOfEndpointsWhileListsArrive) { expectNothingLost(kManyGroups); }
 
 }  // namespace
 }  // namespace stonebay::testbed
--- a/tests/proxy_process.hpp
+++ b/tests/proxy_process.hpp
@@ -1,4 +1,4 @@
-// The program under test: its configuration and its process.
+// Writes configurations of the program under test and starts it.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace stonebay::test {
 
-/// What a test's configuration may choose.
+/// Options of the configuration and the process.
 struct Setting {
   int servers = 2;
   std::string idleCloseUs = "15000000";
@@ -14,20 +14,21 @@
   std::string reports = "pull";
   int proxyCount = 3;
   bool retryAfterAllowed = true;
-  bool dnssd = false;     ///< endpoints are found by DNS-SD; the configuration is an INI file
+  bool dnssd = false;     ///< discovers endpoints through DNS-SD; the configuration is an INI file
   bool ini = false;       ///< the configuration is an INI file, for `serve --config`
-  int descriptors = 0;    ///< RLIMIT_NOFILE of the process; 0: as it is
-  std::string faults;     ///< of system calls, see testbed/syscall_shim.cpp; empty: none
-  std::string clockFile;  ///< with the offset of the wall clock, see there; empty: none
+  int descriptors = 0;    ///< RLIMIT_NOFILE of the process; 0 means that the limit is inherited
+  std::string faults;     ///< injected system call faults, see testbed/syscall_shim.cpp; empty: none
+  std::string clockFile;  ///< file with the offset of the wall clock, see the same file; empty: no offset
 };
 
-/// The platform's JSON form.
+/// Returns a configuration in the platform's JSON form.
 std::string configuration(const Setting& setting, int discoveryPort, const std::vector<int>& serverPorts);
-/// The same as INI. With Setting::dnssd the endpoints are found in `domain`.
+/// Returns the same configuration as an INI file. With Setting::dnssd, the endpoints are published in
+/// `domain`.
 std::string settingsFile(const Setting& setting, int discoveryPort, const std::vector<int>& serverPorts,
                          const std::string& domain = "ruwi.example.org");
-/// Starts the program with these arguments, and this path as NODE_CONFIG; returns its process id. `output`
-/// becomes a descriptor with its standard output and standard error.
+/// Starts the program with these arguments and with NODE_CONFIG set to `configPath`; returns its process id.
+/// Sets `output` to a descriptor from which its standard output and standard error can be read.
 int spawn(const std::string& configPath, const Setting& setting, int& output,
           const std::vector<std::string>& arguments = {});
 
--- a/tests/scenario.cpp
+++ b/tests/scenario.cpp
@@ -18,30 +18,32 @@
 namespace stonebay::test {
 
 Scenario::Scenario(const Setting& setting)
-    : setting_(setting), servers_(static_cast<std::size_t>(setting.servers)) {
-  for (Server& s : servers_) s.listener = listenOn(s.port);
-  servers_.front().primary = true;
-  int listPort = 0;
-  listListener_ = listenOn(listPort);
+    : setting_(setting), endpoints_(static_cast<std::size_t>(setting.servers)) {
+  for (Endpoint& endpoint : endpoints_) endpoint.listener = listenOnAnyPort(endpoint.port);
+  endpoints_.front().primary = true;
+  int discoveryPort = 0;
+  registryListener_ = listenOnAnyPort(discoveryPort);
   if (setting.dnssd) {
-    base_.reset(event_base_new());
-    names_ = std::make_unique<testbed::NameServer>(base_.get(), domain_, "_postgresql._tcp");
-    listPort = names_->port();
-    for (std::size_t k = 1; k <= servers_.size(); ++k) run("dns publish s" + std::to_string(k));
+    eventBase_.reset(event_base_new());
+    nameServer_ = std::make_unique<testbed::NameServer>(eventBase_.get(), domain_, "_postgresql._tcp");
+    discoveryPort = nameServer_->port();
+    for (std::size_t number = 1; number <= endpoints_.size(); ++number)
+      run("dns publish s" + std::to_string(number));
   }
   char path[] = "/tmp/stonebay-test-XXXXXX";
   const int file = mkstemp(path);
   configPath_ = path;
   close(file);
-  configure(listPort);
+  configure(discoveryPort);
   using Arguments = std::vector<std::string>;
-  pid_ = spawn(configPath_, setting, err_,
-               setting.ini || setting.dnssd ? Arguments{"serve", "--config", configPath_} : Arguments{});
-  at_ = "start";
-  until([&] { return log_.find(" port=") != std::string::npos && log_.back() == '\n'; }, "a port");
-  port_ = std::atoi(log_.c_str() + log_.find(" port=") + 6);
+  proxyPid_ = spawn(configPath_, setting, outputFd_,
+                    setting.ini || setting.dnssd ? Arguments{"serve", "--config", configPath_} : Arguments{});
+  currentStep_ = "start";
+  waitUntil([&] { return log_.find(" port=") != std::string::npos && log_.back() == '\n'; },
+            "the proxy's port in the log");
+  proxyPort_ = std::atoi(log_.c_str() + log_.find(" port=") + 6);
   if (setting.dnssd) {
-    run("proxy expect log event=member name=s-" + std::to_string(servers_.size()));
+    run("proxy expect log event=member name=s-" + std::to_string(endpoints_.size()));
     return;
   }
   run(R"(
@@ -51,27 +53,27 @@
   )");
 }
 
-void Scenario::configure(int listPort) const {
+void Scenario::configure(int discoveryPort) const {
   std::vector<int> ports;
-  for (const Server& s : servers_) ports.push_back(s.port);
+  for (const Endpoint& endpoint : endpoints_) ports.push_back(endpoint.port);
   std::ofstream(configPath_) << (setting_.ini || setting_.dnssd
-                                     ? settingsFile(setting_, listPort, ports, domain_)
-                                     : configuration(setting_, listPort, ports));
+                                     ? settingsFile(setting_, discoveryPort, ports, domain_)
+                                     : configuration(setting_, discoveryPort, ports));
 }
 
 Scenario::~Scenario() {
   if (!exited_) {
-    kill(pid_, SIGKILL);
-    waitpid(pid_, nullptr, 0);
+    kill(proxyPid_, SIGKILL);
+    waitpid(proxyPid_, nullptr, 0);
   }
-  for (auto& [name, c] : clients_) close(c.fd);
-  for (Server& s : servers_) {
-    close(s.listener);
-    for (Connection& c : s.all) close(c.fd);
+  for (auto& [name, connection] : clients_) close(connection.fd);
+  for (Endpoint& endpoint : endpoints_) {
+    close(endpoint.listener);
+    for (Connection& connection : endpoint.connections) close(connection.fd);
   }
-  for (Connection& c : watches_) close(c.fd);
-  close(listListener_);
-  close(err_);
+  for (Connection& connection : watchConnections_) close(connection.fd);
+  close(registryListener_);
+  close(outputFd_);
   unlink(configPath_.c_str());
   if (testing::Test::HasFailure()) std::fputs(log_.c_str(), stderr);
 }
@@ -80,178 +82,186 @@
   std::istringstream lines(text);
   for (std::string line; !testing::Test::HasFatalFailure() && std::getline(lines, line);) {
     line.erase(0, line.find_first_not_of(' '));
-    if (!line.empty() && line[0] != '#') step(line);
+    if (!line.empty() && line[0] != '#') runStep(line);
   }
 }
 
-void Scenario::step(const std::string& line) {
-  at_ = line;
+void Scenario::runStep(const std::string& line) {
+  currentStep_ = line;
   std::istringstream words(line);
-  std::string who, verb, what, rest;
-  words >> who >> verb >> what >> std::ws;
-  std::getline(words, rest);
-  if (who == "time") {  // for what the proxy does when its timers come due
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(std::stoi(what));
-    while (std::chrono::steady_clock::now() < end) pump();
+  std::string subject, verb, object, arguments;
+  words >> subject >> verb >> object >> std::ws;
+  std::getline(words, arguments);
+  if (subject == "time") {  // lets timers of the proxy expire
+    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(std::stoi(object));
+    while (std::chrono::steady_clock::now() < end) processEvents();
     return;
   }
-  if (who == "list") return discovery(verb, what, rest);
-  if (who == "dns") return dns(verb, what, rest);
-  if (who == "proxy" && what == "log")
-    return until([&] { return log_.find(rest) != std::string::npos; }, "a line of the log");
-  if (who == "proxy") return proxy(verb, what == "exit" ? rest : what);
-  if (who[0] == 's')
-    return server(servers_.at(static_cast<std::size_t>(std::stoi(who.substr(1)) - 1)), verb, what, rest);
-  Connection& c = clients_[who];
-  if (c.fd < 0) {
-    c.fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const sockaddr_in a = loopback(port_);
-    ASSERT_EQ(connect(c.fd, reinterpret_cast<const sockaddr*>(&a), sizeof a), 0) << at_;
-    if (what != "bytes") put(c.fd, pg::startupMessage("api", "ledger"));
+  if (subject == "list") return runRegistryStep(verb, object, arguments);
+  if (subject == "dns") return runDnsStep(verb, object, arguments);
+  if (subject == "proxy" && object == "log")
+    return waitUntil([&] { return log_.find(arguments) != std::string::npos; }, "a line in the log");
+  if (subject == "proxy") return runProxyStep(verb, object == "exit" ? arguments : object);
+  if (subject[0] == 's')
+    return runEndpointStep(endpoints_.at(static_cast<std::size_t>(std::stoi(subject.substr(1)) - 1)), verb,
+                           object, arguments);
+  Connection& connection = clients_[subject];
+  if (connection.fd < 0) {
+    connection.fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    const sockaddr_in address = loopback(proxyPort_);
+    ASSERT_EQ(connect(connection.fd, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0)
+        << currentStep_;
+    if (object != "bytes") sendAll(connection.fd, pg::startupMessage("api", "ledger"));
     if (verb == "open") return;
-    if (what != "bytes") expectMessage(c, 'Z', "");
+    if (object != "bytes") expectMessage(connection, 'Z', "");
   }
-  client(c, verb, what, rest);
+  runClientStep(connection, verb, object, arguments);
 }
 
-void Scenario::proxy(const std::string& verb, const std::string& rest) {
+void Scenario::runProxyStep(const std::string& verb, const std::string& arguments) {
   if (verb == "send") {
     const std::map<std::string, int> signals{{"TERM", SIGTERM}, {"STOP", SIGSTOP}, {"CONT", SIGCONT}};
-    kill(pid_, signals.at(rest));
+    kill(proxyPid_, signals.at(arguments));
     return;
   }
   if (verb == "reload") {
-    if (rest == "moved") {
+    if (arguments == "moved") {
       int port = 0;
-      close(listListener_);
-      listListener_ = listenOn(port);
+      close(registryListener_);
+      registryListener_ = listenOnAnyPort(port);
       configure(port);
     } else {
       std::ofstream(configPath_) << "{\"name\":";
     }
-    kill(pid_, SIGHUP);
+    kill(proxyPid_, SIGHUP);
     return;
   }
-  // A process that spins never gives up its core of its own accord; one at rest does so time after time, as
-  // its timers go off. The count decides, not the time that it takes.
-  if (rest == "quiet") {
-    const auto sleeps = [&] {
-      std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
-      long n = -1;
+  // A process that spins has no voluntary context switches; an idle one has one whenever it waits for its
+  // next timer. The step waits for a number of switches, however long they take.
+  if (arguments == "quiet") {
+    const auto contextSwitches = [&] {
+      std::ifstream status("/proc/" + std::to_string(proxyPid_) + "/status");
+      long count = -1;
       for (std::string word; status >> word;)
-        if (word == "voluntary_ctxt_switches:") status >> n;
-      return n;
+        if (word == "voluntary_ctxt_switches:") status >> count;
+      return count;
     };
-    const long before = sleeps();
-    return until([&] { return sleeps() >= before + 20; }, "its rest");
+    const long before = contextSwitches();
+    return waitUntil([&] { return contextSwitches() >= before + 20; }, "the proxy to become idle");
   }
-  until([&] { return exited_ = exited_ || waitpid(pid_, &status_, WNOHANG) == pid_; }, "its exit");
-  EXPECT_TRUE(WIFEXITED(status_)) << at_;
-  EXPECT_EQ(WEXITSTATUS(status_), std::stoi(rest)) << at_;
+  waitUntil([&] { return exited_ = exited_ || waitpid(proxyPid_, &exitStatus_, WNOHANG) == proxyPid_; },
+            "the exit of the proxy");
+  EXPECT_TRUE(WIFEXITED(exitStatus_)) << currentStep_;
+  EXPECT_EQ(WEXITSTATUS(exitStatus_), std::stoi(arguments)) << currentStep_;
 }
 
-void Scenario::until(const std::function<bool()>& done, const std::string& what) {
-  const auto end = std::chrono::steady_clock::now() + kWatchdog;
+void Scenario::waitUntil(const std::function<bool()>& done, const std::string& awaited) {
+  const auto end = std::chrono::steady_clock::now() + kStepTimeout;
   while (!done()) {
-    ASSERT_LT(std::chrono::steady_clock::now(), end) << "step '" << at_ << "': " << what << " never came";
-    pump();
+    ASSERT_LT(std::chrono::steady_clock::now(), end)
+        << "step '" << currentStep_ << "': timed out waiting for " << awaited;
+    processEvents();
   }
 }
 
-// Reads what has come, greets and reports for the data servers.
-void Scenario::pump() {
-  std::vector<pollfd> fds{{err_, POLLIN, 0}, {listListener_, POLLIN, 0}};
-  const auto watch = [&](Connection& c) {
-    if (c.fd >= 0 && !c.ended) fds.push_back({c.fd, POLLIN, 0});
+// Waits briefly for events, accepts connections, reads input, and answers startup messages and health checks
+// for the endpoints.
+void Scenario::processEvents() {
+  std::vector<pollfd> fds{{outputFd_, POLLIN, 0}, {registryListener_, POLLIN, 0}};
+  const auto addToPoll = [&](Connection& connection) {
+    if (connection.fd >= 0 && !connection.isClosed) fds.push_back({connection.fd, POLLIN, 0});
   };
-  for (auto& [name, c] : clients_) watch(c);
-  for (Connection& c : watches_) watch(c);
-  for (Server& s : servers_) {
-    if (s.listener >= 0) fds.push_back({s.listener, POLLIN, 0});
-    for (Connection& c : s.all) watch(c);
+  for (auto& [name, connection] : clients_) addToPoll(connection);
+  for (Connection& connection : watchConnections_) addToPoll(connection);
+  for (Endpoint& endpoint : endpoints_) {
+    if (endpoint.listener >= 0) fds.push_back({endpoint.listener, POLLIN, 0});
+    for (Connection& connection : endpoint.connections) addToPoll(connection);
   }
-  if (base_) event_base_loop(base_.get(), EVLOOP_NONBLOCK);
-  poll(fds.data(), fds.size(), base_ ? 5 : 20);
-  const auto ready = [&](int fd) {
-    for (const pollfd& p : fds)
-      if (p.fd == fd && p.revents) return true;
+  if (eventBase_) event_base_loop(eventBase_.get(), EVLOOP_NONBLOCK);
+  poll(fds.data(), fds.size(), eventBase_ ? 5 : 20);
+  const auto isReady = [&](int fd) {
+    for (const pollfd& entry : fds)
+      if (entry.fd == fd && entry.revents) return true;
     return false;
   };
   char text[4096];
-  if (ready(err_)) {
-    const ssize_t n = ::read(err_, text, sizeof text);
-    if (n > 0) log_.append(text, static_cast<std::size_t>(n));
+  if (isReady(outputFd_)) {
+    const ssize_t bytesRead = ::read(outputFd_, text, sizeof text);
+    if (bytesRead > 0) log_.append(text, static_cast<std::size_t>(bytesRead));
   }
-  const auto accepted = [&](int listener, std::list<Connection>& to) {
-    if (listener < 0 || !ready(listener)) return;
+  const auto acceptConnection = [&](int listener, std::list<Connection>& to) {
+    if (listener < 0 || !isReady(listener)) return;
     to.emplace_back();
     to.back().fd = accept4(listener, nullptr, nullptr, SOCK_CLOEXEC);
   };
-  for (auto& [name, c] : clients_)
-    if (ready(c.fd)) read(c);
-  for (Connection& c : watches_)
-    if (ready(c.fd)) read(c);
-  accepted(listListener_, watches_);
-  for (Server& s : servers_) {
-    for (Connection& c : s.all) {
-      if (ready(c.fd)) read(c);
-      greet(s, c);
+  for (auto& [name, connection] : clients_)
+    if (isReady(connection.fd)) read(connection);
+  for (Connection& connection : watchConnections_)
+    if (isReady(connection.fd)) read(connection);
+  acceptConnection(registryListener_, watchConnections_);
+  for (Endpoint& endpoint : endpoints_) {
+    for (Connection& connection : endpoint.connections) {
+      if (isReady(connection.fd)) read(connection);
+      respondToStartupAndHealthCheck(endpoint, connection);
     }
-    s.all.remove_if([&](Connection& c) {
-      const bool gone = c.ended && !c.busy && &c != s.current;
-      if (gone) close(c.fd);
-      return gone;
+    endpoint.connections.remove_if([&](Connection& connection) {
+      const bool isRemovable = connection.isClosed && !connection.isBusy && &connection != endpoint.current;
+      if (isRemovable) close(connection.fd);
+      return isRemovable;
     });
-    const std::size_t before = s.all.size();
-    accepted(s.listener, s.all);
-    s.accepted += static_cast<int>(s.all.size() - before);
+    const std::size_t before = endpoint.connections.size();
+    acceptConnection(endpoint.listener, endpoint.connections);
+    endpoint.accepted += static_cast<int>(endpoint.connections.size() - before);
   }
 }
 
-void Scenario::reset(Connection& c) {
-  const linger hard{1, 0};
-  setsockopt(c.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
-  close(c.fd);
-  c.fd = -1;
-  c.ended = true;
+void Scenario::reset(Connection& connection) {
+  const linger resetOnClose{1, 0};
+  setsockopt(connection.fd, SOL_SOCKET, SO_LINGER, &resetOnClose, sizeof resetOnClose);
+  close(connection.fd);
+  connection.fd = -1;
+  connection.isClosed = true;
 }
 
-void Scenario::read(Connection& c) {
+void Scenario::read(Connection& connection) {
   char text[65536];
-  const ssize_t n = ::recv(c.fd, text, sizeof text, MSG_DONTWAIT);
-  if (n > 0) c.in.append(text, static_cast<std::size_t>(n));
-  c.ended = n == 0 || (n < 0 && errno != EAGAIN);
-  c.wasReset = n < 0 && errno == ECONNRESET;
+  const ssize_t bytesRead = ::recv(connection.fd, text, sizeof text, MSG_DONTWAIT);
+  if (bytesRead > 0) connection.input.append(text, static_cast<std::size_t>(bytesRead));
+  connection.isClosed = bytesRead == 0 || (bytesRead < 0 && errno != EAGAIN);
+  connection.wasReset = bytesRead < 0 && errno == ECONNRESET;
 }
 
-bool Scenario::message(Connection& c, char& type, std::string& body) {
-  if (c.in.size() < 5) return false;
-  const std::size_t n = pg::readInt32(c.in.data() + 1);
-  if (c.in.size() < n + 1) return false;
-  type = c.in[0];
-  body = c.in.substr(5, n - 4);
-  c.in.erase(0, n + 1);
+bool Scenario::takeMessage(Connection& connection, char& type, std::string& body) {
+  if (connection.input.size() < 5) return false;
+  const std::size_t length = pg::readInt32(connection.input.data() + 1);
+  if (connection.input.size() < length + 1) return false;
+  type = connection.input[0];
+  body = connection.input.substr(5, length - 4);
+  connection.input.erase(0, length + 1);
   return true;
 }
 
-// The next message but for those that a client passes over.
-void Scenario::expectMessage(Connection& c, char type, const std::string& within) {
-  char got = 0;
+// Expects a message of this type, after any messages that a client skips. The value of a row must equal
+// `expected`; the body of any other message must contain it.
+void Scenario::expectMessage(Connection& connection, char type, const std::string& expected) {
+  char received = 0;
   std::string body;
-  const std::string passed = type == 'Z' ? "RSKC" : "RSKTC";
-  until(
+  const std::string skippedTypes = type == 'Z' ? "RSKC" : "RSKTC";
+  waitUntil(
       [&] {
-        while (message(c, got, body)) {
-          if (got == 'K') c.key = body;
-          if (got == type || passed.find(got) == std::string::npos) return true;
+        while (takeMessage(connection, received, body)) {
+          if (received == 'K') connection.key = body;
+          if (received == type || skippedTypes.find(received) == std::string::npos) return true;
         }
-        return c.ended;
+        return connection.isClosed;
       },
       "a message");
-  ASSERT_EQ(std::string(1, got), std::string(1, type)) << "step '" << at_ << "': " << body.substr(0, 200);
-  const bool exact = type == 'D';
-  EXPECT_TRUE(exact ? body.size() >= 6 && body.substr(6) == within : body.find(within) != std::string::npos)
-      << "step '" << at_ << "': got " << body.substr(0, 200);
+  ASSERT_EQ(std::string(1, received), std::string(1, type))
+      << "step '" << currentStep_ << "': " << body.substr(0, 200);
+  const bool isExact = type == 'D';
+  EXPECT_TRUE(isExact ? body.size() >= 6 && body.substr(6) == expected
+                      : body.find(expected) != std::string::npos)
+      << "step '" << currentStep_ << "': got " << body.substr(0, 200);
 }
 
 }  // namespace stonebay::test
--- a/tests/scenario_clients.cpp
+++ b/tests/scenario_clients.cpp
@@ -1,4 +1,4 @@
-// The clients of a Scenario.
+// The steps of a Scenario's clients.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -11,63 +11,65 @@
 
 namespace stonebay::test {
 
-void Scenario::client(Connection& c, const std::string& verb, const std::string& what,
-                      const std::string& rest) {
-  if (verb == "cancel") {  // on a connection of its own, by the key of its greeting
-    const std::string request =
-        number(16) + number(pg::kCancelRequest) + (what == "wrongly" ? std::string(8, '\0') : c.key);
-    ASSERT_EQ(request.size(), 16u) << at_;
-    std::size_t sent = 15;  // all but the last byte, where it has begun before
-    if (cancel_ < 0) {
-      cancel_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-      const timeval watchdog{std::chrono::seconds(kWatchdog).count(), 0};
-      setsockopt(cancel_, SOL_SOCKET, SO_RCVTIMEO, &watchdog, sizeof watchdog);
-      const sockaddr_in a = loopback(port_);
-      ASSERT_EQ(connect(cancel_, reinterpret_cast<const sockaddr*>(&a), sizeof a), 0) << at_;
+void Scenario::runClientStep(Connection& connection, const std::string& verb, const std::string& object,
+                             const std::string& arguments) {
+  if (verb == "cancel") {  // on another connection, with the key from the startup response
+    const std::string request = encodeInt32(16) + encodeInt32(pg::kCancelRequest) +
+                                (object == "wrongly" ? std::string(8, '\0') : connection.key);
+    ASSERT_EQ(request.size(), 16u) << currentStep_;
+    std::size_t sent = 15;  // by an earlier step `cancel begins`
+    if (cancelFd_ < 0) {
+      cancelFd_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+      const timeval timeout{std::chrono::seconds(kStepTimeout).count(), 0};
+      setsockopt(cancelFd_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+      const sockaddr_in address = loopback(proxyPort_);
+      ASSERT_EQ(connect(cancelFd_, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0)
+          << currentStep_;
       sent = 0;
     }
-    put(cancel_, what == "begins" ? request.substr(0, 15) : request.substr(sent));
-  } else if (what == "cancelled") {  // the proxy has read it, and says nothing but its end
+    sendAll(cancelFd_, object == "begins" ? request.substr(0, 15) : request.substr(sent));
+  } else if (object == "cancelled") {  // the proxy closes the connection without a response
     char byte;
-    EXPECT_EQ(recv(cancel_, &byte, 1, 0), 0) << at_;
-    close(cancel_);
-    cancel_ = -1;
+    EXPECT_EQ(recv(cancelFd_, &byte, 1, 0), 0) << currentStep_;
+    close(cancelFd_);
+    cancelFd_ = -1;
   } else if (verb == "close") {
-    close(c.fd);
-    c.fd = -1;
-    c.ended = true;
-  } else if (verb == "send" && what == "query") {
-    put(c.fd, pg::query(rest));
-  } else if (verb == "send" && what == "bytes") {  // in hexadecimal
-    std::istringstream hex(rest);
-    for (unsigned v; hex >> std::hex >> v;) put(c.fd, std::string(1, static_cast<char>(v)));
-  } else if (what == "closed") {
-    until([&] { return c.ended; }, "the end of the connection");
-    EXPECT_FALSE(c.wasReset) << at_;
-  } else if (what == "greeted") {
-    expectMessage(c, 'Z', "");
-  } else if (what == "row") {
-    expectMessage(c, 'D', value(rest));
-    expectMessage(c, 'Z', "");
-  } else if (what == "empty") {
-    expectMessage(c, 'I', "");
-    expectMessage(c, 'Z', "");
-  } else if (what == "retry-after") {  // a rejection with a number in the field D
+    close(connection.fd);
+    connection.fd = -1;
+    connection.isClosed = true;
+  } else if (verb == "send" && object == "query") {
+    sendAll(connection.fd, pg::query(arguments));
+  } else if (verb == "send" && object == "bytes") {  // in hexadecimal
+    std::istringstream hex(arguments);
+    for (unsigned byte; hex >> std::hex >> byte;)
+      sendAll(connection.fd, std::string(1, static_cast<char>(byte)));
+  } else if (object == "closed") {
+    waitUntil([&] { return connection.isClosed; }, "the connection to be closed");
+    EXPECT_FALSE(connection.wasReset) << currentStep_;
+  } else if (object == "greeted") {
+    expectMessage(connection, 'Z', "");
+  } else if (object == "row") {
+    expectMessage(connection, 'D', expandValue(arguments));
+    expectMessage(connection, 'Z', "");
+  } else if (object == "empty") {
+    expectMessage(connection, 'I', "");
+    expectMessage(connection, 'Z', "");
+  } else if (object == "retry-after") {  // a rejection with a number in its detail field
     char type = 0;
     std::string body;
-    until([&] { return message(c, type, body); }, "a rejection");
+    waitUntil([&] { return takeMessage(connection, type, body); }, "a rejection");
     EXPECT_EQ(type, 'E');
     EXPECT_NE(body.find("C53300"), std::string::npos) << body;
     const std::size_t detail = body.find(std::string("\0D", 2));
-    ASSERT_NE(detail, std::string::npos) << at_;
+    ASSERT_NE(detail, std::string::npos) << currentStep_;
     EXPECT_GT(std::atoi(body.c_str() + detail + 2), 0);
-    expectMessage(c, 'Z', "");
-  } else if (what == "error") {
-    expectMessage(c, 'E', "C" + rest);
-    if (rest != "08P01" && rest != "0A000" && rest != "53200")
-      expectMessage(c, 'Z', "");  // those end the connection
+    expectMessage(connection, 'Z', "");
+  } else if (object == "error") {
+    expectMessage(connection, 'E', "C" + arguments);
+    if (arguments != "08P01" && arguments != "0A000" && arguments != "53200")
+      expectMessage(connection, 'Z', "");  // those errors end the connection
   } else {
-    FAIL() << "no such step: " << at_;
+    FAIL() << "unknown step: " << currentStep_;
   }
 }
 
--- a/tests/scenario_discovery.cpp
+++ b/tests/scenario_discovery.cpp
@@ -1,4 +1,4 @@
-// The registry and the name server of a Scenario.
+// The steps of a Scenario's registry and name server.
 #include <signal.h>
 #include <sys/socket.h>
 
@@ -10,93 +10,95 @@
 
 namespace stonebay::test {
 
-std::string Scenario::list(int server, const std::string& lifecycle, int generation) const {
-  std::ostringstream s;
-  s << R"({"generation":)" << generation << R"(,"reset":false,"instances":[{"instanceId":"s-)" << server
-    << R"(","hostPort":"127.0.0.1:)" << servers_[static_cast<std::size_t>(server - 1)].port
-    << R"(","zone":"a","cell":3,"lifecycle":")" << lifecycle << R"(","weight":1.0,"startedAtMs":0}]})";
-  return s.str();
+std::string Scenario::list(int endpoint, const std::string& lifecycle, int generation) const {
+  std::ostringstream json;
+  json << R"({"generation":)" << generation << R"(,"reset":false,"instances":[{"instanceId":"s-)" << endpoint
+       << R"(","hostPort":"127.0.0.1:)" << endpoints_[static_cast<std::size_t>(endpoint - 1)].port
+       << R"(","zone":"a","cell":3,"lifecycle":")" << lifecycle << R"(","weight":1.0,"startedAtMs":0}]})";
+  return json.str();
 }
 
-void Scenario::discovery(const std::string& verb, const std::string& what, const std::string& rest) {
-  if (what == "calls") {
-    EXPECT_EQ(watches_.size(), std::stoul(rest)) << at_;
+void Scenario::runRegistryStep(const std::string& verb, const std::string& object,
+                               const std::string& arguments) {
+  if (object == "calls") {
+    EXPECT_EQ(watchConnections_.size(), std::stoul(arguments)) << currentStep_;
     return;
   }
   if (verb == "expect") {
     std::string request;
-    until(
+    waitUntil(
         [&] {
-          const bool come = !watches_.empty() && watches_.back().fresh &&
-                            watches_.back().in.find("\r\n\r\n") != std::string::npos;
-          if (come) request = watches_.back().in;
-          return come;
+          const bool hasRequest = !watchConnections_.empty() && watchConnections_.back().isNew &&
+                                  watchConnections_.back().input.find("\r\n\r\n") != std::string::npos;
+          if (hasRequest) request = watchConnections_.back().input;
+          return hasRequest;
         },
         "a watch");
     if (request.empty()) return;
     EXPECT_EQ(request.rfind("GET /registry/instances?watch=1&", 0), 0u) << request;
-    EXPECT_NE(request.find(rest), std::string::npos) << at_ << ": got " << request;
-    watches_.back().fresh = false;
-    if (what == "watch") put(watches_.back().fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    if (what == "endless") put(watches_.back().fd, "HTTP/1.1 200 OK\r\n\r\n");
+    EXPECT_NE(request.find(arguments), std::string::npos) << currentStep_ << ": got " << request;
+    watchConnections_.back().isNew = false;
+    if (object == "watch")
+      sendAll(watchConnections_.back().fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    if (object == "endless") sendAll(watchConnections_.back().fd, "HTTP/1.1 200 OK\r\n\r\n");
     return;
   }
-  ASSERT_FALSE(watches_.empty()) << at_;
-  const int fd = watches_.back().fd;
-  const auto chunk = [&](const std::string& text) {
-    std::ostringstream head;
-    head << std::hex << text.size() << "\r\n" << text << "\r\n";
-    put(fd, head.str());
+  ASSERT_FALSE(watchConnections_.empty()) << currentStep_;
+  const int fd = watchConnections_.back().fd;
+  const auto sendChunk = [&](const std::string& text) {
+    std::ostringstream chunk;
+    chunk << std::hex << text.size() << "\r\n" << text << "\r\n";
+    sendAll(fd, chunk.str());
   };
   if (verb == "close") {
     shutdown(fd, SHUT_RDWR);
   } else if (verb == "reset") {
-    reset(watches_.back());
-  } else if (what == "raw") {  // an endless answer's bytes
-    put(fd, rest);
-  } else if (what == "indented") {
+    reset(watchConnections_.back());
+  } else if (object == "raw") {  // part of a response without chunks
+    sendAll(fd, arguments);
+  } else if (object == "indented") {
     std::string text;
-    for (const char byte : rest) {
+    for (const char byte : arguments) {
       text += byte;
       if (byte == '{' || byte == '[' || byte == ',') text += "\n    ";
     }
-    chunk(text + "\n");
-  } else if (what == "line") {
-    chunk(rest + "\n");
-  } else if (what == "bits") {  // the same in chunks of one byte each
-    for (const char byte : rest + "\n") chunk(std::string(1, byte));
-  } else if (what == "status") {
-    put(fd, "HTTP/1.1 " + rest + "\r\nContent-Length: 0\r\n\r\n");
+    sendChunk(text + "\n");
+  } else if (object == "line") {
+    sendChunk(arguments + "\n");
+  } else if (object == "bits") {  // a line in chunks of one byte each
+    for (const char byte : arguments + "\n") sendChunk(std::string(1, byte));
+  } else if (object == "status") {
+    sendAll(fd, "HTTP/1.1 " + arguments + "\r\nContent-Length: 0\r\n\r\n");
   } else {
-    FAIL() << "no such step: " << at_;
+    FAIL() << "unknown step: " << currentStep_;
   }
 }
 
-void Scenario::dns(const std::string& verb, const std::string& what, const std::string& rest) {
+void Scenario::runDnsStep(const std::string& verb, const std::string& object, const std::string& arguments) {
   if (verb == "behavior") {
     testbed::NameServer::Behavior behavior{};
-    ASSERT_TRUE(testbed::NameServer::findBehavior(what, behavior)) << at_;
-    return names_->setBehavior(behavior);
+    ASSERT_TRUE(testbed::NameServer::findBehavior(object, behavior)) << currentStep_;
+    return nameServer_->setBehavior(behavior);
   }
-  if (verb == "move") {  // another domain, at the same name server's port
-    const int port = names_->port();
-    names_.reset();
-    domain_ = what;
-    names_ = std::make_unique<testbed::NameServer>(base_.get(), domain_, "_postgresql._tcp", port);
+  if (verb == "move") {  // the name server serves another domain at the same port
+    const int port = nameServer_->port();
+    nameServer_.reset();
+    domain_ = object;
+    nameServer_ = std::make_unique<testbed::NameServer>(eventBase_.get(), domain_, "_postgresql._tcp", port);
     configure(port);
-    kill(pid_, SIGHUP);
+    kill(proxyPid_, SIGHUP);
     return;
   }
-  const std::string label = "s-" + what.substr(1);
-  if (verb == "withdraw") return names_->withdraw(label);
-  ASSERT_EQ(verb, "publish") << at_;
-  testbed::ServiceInstance i;
-  i.label = label;
-  i.addresses = {"127.0.0.1"};
-  i.port = static_cast<std::uint16_t>(servers_.at(std::stoul(what.substr(1)) - 1).port);
-  std::istringstream words(rest);
-  for (std::string word; words >> word;) i.txt.push_back(word);
-  names_->publish(i);
+  const std::string label = "s-" + object.substr(1);
+  if (verb == "withdraw") return nameServer_->withdraw(label);
+  ASSERT_EQ(verb, "publish") << currentStep_;
+  testbed::ServiceInstance instance;
+  instance.label = label;
+  instance.addresses = {"127.0.0.1"};
+  instance.port = static_cast<std::uint16_t>(endpoints_.at(std::stoul(object.substr(1)) - 1).port);
+  std::istringstream words(arguments);
+  for (std::string word; words >> word;) instance.txt.push_back(word);
+  nameServer_->publish(instance);
 }
 
 }  // namespace stonebay::test
--- a/tests/scenario_endpoints.cpp
+++ b/tests/scenario_endpoints.cpp
@@ -1,4 +1,4 @@
-// The endpoints of a Scenario.
+// The steps of a Scenario's endpoints.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -20,28 +20,29 @@
 std::string row(const std::string& text) {
   std::string column("\0\1blob\0", 7);
   column.append(18, '\0');
-  const std::string cell = std::string("\0\1", 2) + number(static_cast<std::uint32_t>(text.size())) + text;
+  const std::string cell =
+      std::string("\0\1", 2) + encodeInt32(static_cast<std::uint32_t>(text.size())) + text;
   return pg::message('T', column) + pg::message('D', cell);
 }
-std::string parameter(const std::string& name, const std::string& text) {
+std::string parameterStatus(const std::string& name, const std::string& text) {
   return pg::message('S', name + '\0' + text + '\0');
 }
 
-const std::string kOneRow("SELECT 1\0", 9);  // the tag of a CommandComplete
+const std::string kSelectOneTag("SELECT 1\0", 9);  // command tag of a CommandComplete
 
-// What an endpoint should not send. `parameters` are the ParameterStatus messages of a response.
+// Returns invalid output of an endpoint. `parameters` are the ParameterStatus messages of a response.
 std::string malformedResponse(const std::string& kind, const std::string& parameters) {
   const std::string good = row("other");
-  const std::string done = pg::message('C', kOneRow);
+  const std::string done = pg::message('C', kSelectOneTag);
   const std::string end = done + parameters + pg::readyForQuery();
   const std::string description = good.substr(0, good.size() - 16);
   const std::string cell = good.substr(good.size() - 16);
   const std::map<std::string, std::string> kinds{
       {"noise", "\x80\x01 no message"},
-      {"huge", description + "D" + number(0xc0000000u) + "\1"},
+      {"huge", description + "D" + encodeInt32(0xc0000000u) + "\1"},
       {"column", description + pg::message('D', std::string("\0\1\0\0\1\0other", 11)) + end},
       {"columns", description + pg::message('D', std::string("\0\2\0\0\0\5other", 11)) + end},
-      {"endless", description + "D" + number(15) + std::string("\0\1\0\0\0\5ot", 8)},
+      {"endless", description + "D" + encodeInt32(15) + std::string("\0\1\0\0\0\5ot", 8)},
       {"rows", good + cell + end},
       {"order", description + done + cell + parameters + pg::readyForQuery()},
       {"none", description + end},
@@ -53,119 +54,134 @@
 
 }  // namespace
 
-void Scenario::server(Server& s, const std::string& verb, const std::string& what, const std::string& rest) {
-  if (verb == "expect" && what == "query") {
-    expectQuery(s, rest);
-  } else if (verb == "expect" && what == "connections") {
-    EXPECT_EQ(s.accepted, std::stoi(rest)) << at_;
-  } else if (verb == "expect" && what == "drained") {
-    until([&] { return s.all.empty(); }, "the end of all connections");
+void Scenario::runEndpointStep(Endpoint& endpoint, const std::string& verb, const std::string& object,
+                               const std::string& arguments) {
+  if (verb == "expect" && object == "query") {
+    expectQuery(endpoint, arguments);
+  } else if (verb == "expect" && object == "connections") {
+    EXPECT_EQ(endpoint.accepted, std::stoi(arguments)) << currentStep_;
+  } else if (verb == "expect" && object == "drained") {
+    waitUntil([&] { return endpoint.connections.empty(); }, "all connections to be closed");
   } else if (verb == "drop") {
-    s.healthChecksToDrop = std::stoi(rest);
+    endpoint.healthChecksToDrop = std::stoi(arguments);
   } else if (verb == "report") {
-    s.report = what;
+    endpoint.report = object;
   } else if (verb == "load") {
-    s.load = what;
-  } else if (verb == "wait" && what == "speak") {  // it is back: what waits is greeted now
-    s.silent = false;
-  } else if (verb == "wait" && what == "silent") {  // cut off: its connections stay open and say nothing more
-    s.silent = true;
+    endpoint.load = object;
+  } else if (verb == "wait" && object == "speak") {
+    // Startup messages and health checks that were received meanwhile are answered now.
+    endpoint.silent = false;
+  } else if (verb == "wait" && object == "silent") {
+    // Connections stay open; startup messages and health checks stay unanswered.
+    endpoint.silent = true;
   } else if (verb == "wait") {
-    waitForIdle(s, std::stoul(rest));
-  } else if (verb == "close" && what == "all") {  // its process dies
-    close(s.listener);
-    s.listener = -1;
-    for (Connection& c : s.all) reset(c);
-    s.all.clear();
-  } else if (verb == "close" && what == "idle") {
-    for (Connection& c : s.all)
-      if (!c.busy) shutdown(c.fd, SHUT_RDWR);
+    waitForIdle(endpoint, std::stoul(arguments));
+  } else if (verb == "close" && object == "all") {  // as if the process had crashed
+    close(endpoint.listener);
+    endpoint.listener = -1;
+    for (Connection& connection : endpoint.connections) reset(connection);
+    endpoint.connections.clear();
+  } else if (verb == "close" && object == "idle") {
+    for (Connection& connection : endpoint.connections)
+      if (!connection.isBusy) shutdown(connection.fd, SHUT_RDWR);
   } else {
-    ASSERT_NE(s.current, nullptr) << at_;
-    respond(s, *s.current, verb, what, rest);
+    ASSERT_NE(endpoint.current, nullptr) << currentStep_;
+    respond(endpoint, *endpoint.current, verb, object, arguments);
   }
 }
 
-// The next query on any of its connections; later steps are about that connection.
-void Scenario::expectQuery(Server& s, const std::string& within) {
+// Waits for the next query on any connection of the endpoint; later steps apply to that connection.
+void Scenario::expectQuery(Endpoint& endpoint, const std::string& expected) {
   Connection* found = nullptr;
   std::string statement;
-  until(
+  waitUntil(
       [&] {
-        for (Connection& c : s.all) {
+        for (Connection& connection : endpoint.connections) {
           char type = 0;
-          if (!found && c.greeted && !c.busy && message(c, type, statement)) found = &c;
+          if (!found && connection.hasStarted && !connection.isBusy &&
+              takeMessage(connection, type, statement))
+            found = &connection;
         }
         return found != nullptr;
       },
       "a query");
   if (!found) return;
-  EXPECT_NE(statement.find(within), std::string::npos) << at_ << ": got " << statement;
-  s.current = found;
-  found->busy = true;
+  EXPECT_NE(statement.find(expected), std::string::npos) << currentStep_ << ": got " << statement;
+  endpoint.current = found;
+  found->isBusy = true;
 }
 
-void Scenario::waitForIdle(const Server& s, std::size_t count) {
-  until(
+void Scenario::waitForIdle(const Endpoint& endpoint, std::size_t count) {
+  waitUntil(
       [&] {
         std::size_t idle = 0;
-        for (const Connection& c : s.all) idle += c.greeted && !c.busy && !c.ended;
+        for (const Connection& connection : endpoint.connections)
+          idle += connection.hasStarted && !connection.isBusy && !connection.isClosed;
         return idle >= count;
       },
       "idle connections");
 }
 
-void Scenario::respond(const Server& s, Connection& c, const std::string& verb, const std::string& what,
-                       const std::string& rest) {
-  if (what == "closed") return until([&] { return c.ended; }, "the end of the connection");
-  if (what == "gone") {
-    EXPECT_TRUE(c.ended) << at_;
+void Scenario::respond(const Endpoint& endpoint, Connection& connection, const std::string& verb,
+                       const std::string& object, const std::string& arguments) {
+  if (object == "closed")
+    return waitUntil([&] { return connection.isClosed; }, "the connection to be closed");
+  if (object == "gone") {
+    EXPECT_TRUE(connection.isClosed) << currentStep_;
     return;
   }
-  const bool primary = s.load.empty() ? s.primary : s.load.find("x1=1") != std::string::npos;
+  const bool primary =
+      endpoint.load.empty() ? endpoint.primary : endpoint.load.find("x1=1") != std::string::npos;
   const std::string parameters =
-      parameter("role", primary ? "primary" : "replica") +
-      (s.load.empty() ? parameter("applied_ms", std::to_string(unixMs())) : parameter("load", s.load));
+      parameterStatus("role", primary ? "primary" : "replica") +
+      (endpoint.load.empty() ? parameterStatus("applied_ms", std::to_string(unixMs()))
+                             : parameterStatus("load", endpoint.load));
   if (verb == "close") {
-    shutdown(c.fd, SHUT_RDWR);
-  } else if (what == "row") {
-    put(c.fd, row(value(rest)) + pg::message('C', kOneRow) + parameters + pg::readyForQuery());
-  } else if (what == "part") {
-    const std::string complete = row(value(rest));
-    put(c.fd, complete.substr(0, complete.size() - 2));
-  } else if (what == "malformed") {
-    put(c.fd, malformedResponse(rest, parameters));
-  } else if (what == "error") {
-    put(c.fd, pg::errorResponse("ERROR", rest.c_str(), "scripted") + parameters + pg::readyForQuery());
+    shutdown(connection.fd, SHUT_RDWR);
+  } else if (object == "row") {
+    sendAll(connection.fd,
+            row(expandValue(arguments)) + pg::message('C', kSelectOneTag) + parameters + pg::readyForQuery());
+  } else if (object == "part") {
+    const std::string complete = row(expandValue(arguments));
+    sendAll(connection.fd, complete.substr(0, complete.size() - 2));
+  } else if (object == "malformed") {
+    sendAll(connection.fd, malformedResponse(arguments, parameters));
+  } else if (object == "error") {
+    sendAll(connection.fd,
+            pg::errorResponse("ERROR", arguments.c_str(), "scripted") + parameters + pg::readyForQuery());
   } else {
-    FAIL() << "no such step: " << at_;
+    FAIL() << "unknown step: " << currentStep_;
   }
-  if (what != "part" && what != "malformed") c.busy = false;
+  if (object != "part" && object != "malformed") connection.isBusy = false;
 }
 
-void Scenario::greet(Server& s, Connection& c) {
-  if (s.silent) return;
-  if (!c.greeted && c.in.size() >= 4 && c.in.size() >= pg::readInt32(c.in.data())) {
-    c.in.erase(0, pg::readInt32(c.in.data()));
-    c.greeted = true;
-    put(c.fd, pg::greeting());
+void Scenario::respondToStartupAndHealthCheck(Endpoint& endpoint, Connection& connection) {
+  if (endpoint.silent) return;
+  if (!connection.hasStarted && connection.input.size() >= 4 &&
+      connection.input.size() >= pg::readInt32(connection.input.data())) {
+    connection.input.erase(0, pg::readInt32(connection.input.data()));
+    connection.hasStarted = true;
+    sendAll(connection.fd, pg::greeting());
   }
   const std::string show = pg::query("SHOW load");
-  if (!c.greeted || c.in.compare(0, show.size(), show) != 0) return;
-  c.in.erase(0, show.size());
-  if (s.healthChecksToDrop > 0) {
-    --s.healthChecksToDrop;
-    shutdown(c.fd, SHUT_RDWR);
+  if (!connection.hasStarted || connection.input.compare(0, show.size(), show) != 0) return;
+  connection.input.erase(0, show.size());
+  if (endpoint.healthChecksToDrop > 0) {
+    --endpoint.healthChecksToDrop;
+    shutdown(connection.fd, SHUT_RDWR);
     return;
   }
-  if (!s.report.empty()) {
-    put(c.fd, row(s.report) + pg::message('C', std::string("SHOW\0", 5)) + pg::readyForQuery());
+  if (!endpoint.report.empty()) {
+    sendAll(connection.fd,
+            row(endpoint.report) + pg::message('C', std::string("SHOW\0", 5)) + pg::readyForQuery());
     return;
   }
   std::ostringstream report;
-  const long long ms = unixMs();
-  report << "x0=" << ms / 1000 << "." << ms % 1000 / 100 << ",x1=" << (s.primary ? 1 : 0) << ",inflight=0";
-  put(c.fd, row(report.str()) + pg::message('C', std::string("SHOW\0", 5)) + pg::readyForQuery());
+  const long long nowMs = unixMs();
+  report << "x0=" << nowMs / 1000 << "." << nowMs % 1000 / 100 << ",x1=" << (endpoint.primary ? 1 : 0)
+         << ",inflight=0";
+  sendAll(connection.fd,
+          row(report.str()) + pg::message('C', std::string("SHOW\0", 5)) + pg::readyForQuery());
 }
 
 }  // namespace stonebay::test
--- a/tests/scenario_sockets.hpp
+++ b/tests/scenario_sockets.hpp
@@ -1,4 +1,4 @@
-// Blocking sockets and bytes for the parties that a Scenario plays.
+// Socket and encoding helpers for the clients, endpoints and registry that a Scenario plays.
 #pragma once
 
 #include <netinet/in.h>
@@ -9,13 +9,14 @@
 namespace stonebay::test {
 
 sockaddr_in loopback(int port);
-/// Listens on loopback at a port of the system's choice.
-int listenOn(int& port);
-/// Writes all bytes at once; nothing happens where the other side has closed.
-void put(int fd, const std::string& bytes);
-/// Four bytes in network order.
-std::string number(std::uint32_t value);
-/// The value that a step names; "big" stands for the longest one: 64 KiB.
-std::string value(const std::string& text);
+/// Listens on loopback at a port that the system chooses, and sets `port` to it. Returns the socket.
+int listenOnAnyPort(int& port);
+/// Blocks until all bytes are written. Returns early without an error if the peer has closed the connection.
+void sendAll(int fd, const std::string& bytes);
+/// Returns four bytes in network order.
+std::string encodeInt32(std::uint32_t value);
+/// Returns the value that a step means by `text`: 64 KiB, the longest allowed value, for "big", otherwise the
+/// text itself.
+std::string expandValue(const std::string& text);
 
 }  // namespace stonebay::test
--- a/tests/syscall_fault_test.cpp
+++ b/tests/syscall_fault_test.cpp
@@ -1,5 +1,6 @@
-// The proxy while system calls fail, come short or are interrupted, and while its wall clock is wrong.
-// scenario.hpp explains the language, testbed/syscall_shim.cpp the faults.
+// Tests the proxy while system calls fail, are interrupted or transfer fewer bytes than requested, and while
+// its wall clock is wrong. scenario.hpp describes the language of the scripts, testbed/syscall_shim.cpp the
+// faults.
 #include <unistd.h>
 
 #include <cstdlib>
@@ -16,8 +17,10 @@
   return setting;
 }
 
-// The listener's own accept is the first one, the last look at the backlog the second.
-constexpr const char* kCrossTheEndOfAccepting = R"(
+// A connection arrives with its first request while the proxy is stopped and shutting down. In the tests
+// below the first two accept4 calls fail: the first is the listener's, the second is made by the proxy for
+// the backlog before it closes the listener.
+constexpr const char* kConnectWhileAcceptingStops = R"(
     proxy send TERM
     proxy expect log event=drain_started
     proxy send STOP
@@ -31,20 +34,20 @@
     proxy expect exit 0
 )";
 
-TEST(SyscallFaults, ShutdownAnswersTheConnectionBehindAnAbortedOne) {
-  Scenario t(withFaults("accept4:ECONNABORTED:1:2"));
-  t.run(kCrossTheEndOfAccepting);
+TEST(SyscallFaults, ShutdownAcceptsTheConnectionQueuedBehindAnAbortedOne) {
+  Scenario scenario(withFaults("accept4:ECONNABORTED:1:2"));
+  scenario.run(kConnectWhileAcceptingStops);
 }
 
-TEST(SyscallFaults, ShutdownAnswersTheBacklogOnceDescriptorsAreFreeAgain) {
-  Scenario t(withFaults("accept4:ENFILE:1:2"));
-  t.run(kCrossTheEndOfAccepting);
+TEST(SyscallFaults, ShutdownAcceptsTheBacklogOnceDescriptorsAreFreeAgain) {
+  Scenario scenario(withFaults("accept4:ENFILE:1:2"));
+  scenario.run(kConnectWhileAcceptingStops);
 }
 
 TEST(SyscallFaults, ServesThroughShortReadsAndWritesAndInterruptedWaits) {
-  Scenario t(
+  Scenario scenario(
       withFaults("readv:SHORT:300,writev:SHORT:300,epoll_wait:EINTR:100,readv:EINTR:100,writev:EAGAIN:50"));
-  t.run(R"(
+  scenario.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
     s2 send row big
@@ -56,9 +59,9 @@
   )");
 }
 
-TEST(SyscallFaults, ServesAfterSocketsAndConnectsHaveFailedForAMoment) {
-  Scenario t(withFaults("socket:ENFILE:3:6,connect:EADDRNOTAVAIL:2:6"));
-  t.run(R"(
+TEST(SyscallFaults, ServesAfterSocketAndConnectFailTemporarily) {
+  Scenario scenario(withFaults("socket:ENFILE:3:6,connect:EADDRNOTAVAIL:2:6"));
+  scenario.run(R"(
     time passes 1500
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
@@ -67,9 +70,9 @@
   )");
 }
 
-TEST(SyscallFaults, StartsThoughTheSocketOfTheListenerFailsAtFirst) {
-  Scenario t(withFaults("socket:ENFILE:1:3"));
-  t.run(R"(
+TEST(SyscallFaults, StartsAfterTheListenerSocketFailsAtFirst) {
+  Scenario scenario(withFaults("socket:ENFILE:1:3"));
+  scenario.run(R"(
     c1 send query
     c1 expect empty
   )");
@@ -79,11 +82,11 @@
  protected:
   void SetUp() override { close(mkstemp(path_)); }
   void TearDown() override { unlink(path_); }
-  void setOffset(long milliseconds) const { std::ofstream(path_) << milliseconds; }
+  void setOffset(long offsetMs) const { std::ofstream(path_) << offsetMs; }
   Setting setting() const {
-    Setting chosen;
-    chosen.clockFile = path_;
-    return chosen;
+    Setting setting;
+    setting.clockFile = path_;
+    return setting;
   }
 
  private:
@@ -92,11 +95,11 @@
 
 constexpr long kHourMs = 3600L * 1000;
 
-TEST_F(WallClock, StepsLeaveDeadlinesAndReplicasAlone) {
-  Scenario t(setting());
+TEST_F(WallClock, StepsDoNotAffectDeadlinesOrReplicas) {
+  Scenario scenario(setting());
   for (const long offset : {kHourMs, -kHourMs, 5000L, 0L}) {
     setOffset(offset);
-    t.run(R"(
+    scenario.run(R"(
       c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
       s2 expect query id=1
       s2 send row v
@@ -105,10 +108,10 @@
   }
 }
 
-TEST_F(WallClock, AnHourBehindAtTheStartLeavesReplicasInUse) {
+TEST_F(WallClock, ReplicasServeWhenItStartsAnHourBehind) {
   setOffset(-kHourMs);
-  Scenario t(setting());
-  t.run(R"(
+  Scenario scenario(setting());
+  scenario.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
     s2 send row v
@@ -116,10 +119,10 @@
   )");
 }
 
-TEST_F(WallClock, AnHourAheadAtTheStartLeavesReplicasInUse) {
+TEST_F(WallClock, ReplicasServeWhenItStartsAnHourAhead) {
   setOffset(kHourMs);
-  Scenario t(setting());
-  t.run(R"(
+  Scenario scenario(setting());
+  scenario.run(R"(
     c1 send query SELECT 1 /* id=1,c=read,d=7000,cluster=3 */
     s2 expect query id=1
     s2 send row v
--- a/tests/testbed_test.cpp
+++ b/tests/testbed_test.cpp
@@ -1,4 +1,5 @@
-// The testbed itself: its models, its auditors, and each auditor against a proxy that breaks its rule.
+// Tests of the testbed: its models, its experiment parser and its auditors. Each auditor is also tested
+// against a proxy that violates the rule that it checks.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -19,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(Machine, ServesAsManyRequestsAtOnceAsItHasCores) {
+TEST(Machine, ServesOneRequestPerCoreAtATime) {
   MachineSettings settings;
   settings.cores = 2;
   settings.queueCapacity = 1;
@@ -33,14 +34,14 @@
   EXPECT_EQ(machine.enqueue(Time(5000), 1000), Time(9000));
 }
 
-TEST(Machine, WarmsUpAfterItsStartAndCrashesOfOverload) {
+TEST(Machine, WarmsUpAfterItsStartAndCrashesWhenOverloaded) {
   MachineSettings settings;
   settings.cores = 1;
   Machine machine(settings, Time(0), false);
   EXPECT_NEAR(machine.capacity(Time(0)), 0.21, 1e-9);
   EXPECT_NEAR(machine.capacity(seconds(9)), 0.605, 1e-9);
   EXPECT_NEAR(machine.capacity(seconds(18)), 1, 1e-9);
-  // 0.21 of a core over 1.5 s are 315 ms; more than 2.5 times that crashes it.
+  // 0.21 of a core over 1.5 s is 315 ms of work; more than 2.5 times that crashes the machine.
   EXPECT_FALSE(machine.addOfferedWork(Time(0), 780e3));
   EXPECT_NEAR(machine.peakOverload(), 780.0 / 315, 1e-6);
   EXPECT_TRUE(machine.addOfferedWork(Time(1), 20e3));
@@ -54,7 +55,7 @@
   EXPECT_FALSE(machine.addOfferedWork(seconds(2), 700e3));
 }
 
-TEST(Machine, DoesNotCrashOfOverloadOnceItIsWarm) {
+TEST(Machine, DoesNotCrashWhenOverloadedOnceItIsWarm) {
   MachineSettings settings;
   settings.cores = 1;
   Machine machine(settings, Time(0), true);
@@ -89,7 +90,7 @@
   audit.onAttempt(attemptAt(seconds(2) + milliseconds(1000), 3, "a"));
   audit.onAttempt(attemptAt(seconds(2) + milliseconds(1100), 3, "b"));
   AttemptRecord byAnotherProxy = attemptAt(seconds(9), 3, "c");
-  byAnotherProxy.proxy = 2;  // it was not notified
+  byAnotherProxy.proxy = 2;  // was not notified of the withdrawal
   audit.onAttempt(byAnotherProxy);
   audit.onListing(seconds(10), 1, 3, true);
   audit.onAttempt(attemptAt(seconds(30), 3, "d"));
@@ -169,8 +170,9 @@
   EXPECT_GE(experiments, 8);
 }
 
-// Each rule, broken on purpose by the fault-injecting proxy under the same small experiment: its auditor must
-// find it. The auditors of the rules that are kept must find nothing.
+// Run with a proxy that violates one rule: the auditor of this rule must report violations. The auditors of
+// late attempts, concurrent attempts, repeated writes and extra responses must report none unless it is their
+// rule.
 constexpr const char* kFaultExperiment = R"(
 [experiment]
 duration = 3s
@@ -209,7 +211,7 @@
 
 struct FaultCase {
   const char* fault;
-  const char* figure;  // that counts its violations
+  const char* figure;  // counts the violations of the rule
 };
 
 class AuditorTest : public testing::TestWithParam<FaultCase> {
@@ -225,8 +227,8 @@
     std::vector<ConfigError> errors;
     Experiment experiment = parseExperiment(kFaultExperiment, "fault", errors);
     EXPECT_TRUE(errors.empty()) << errors.front().text();
-    if (isFault("flood")) experiment.load.rate = 500;  // what one warm endpoint could just serve
-    if (isFault("late")) {                             // the endpoint stays, its record goes
+    if (isFault("flood")) experiment.load.rate = 500;  // as many as one warm endpoint can just serve
+    if (isFault("late")) {                             // withdraws the endpoint but keeps it running
       experiment.script.clear();
       experiment.script.push_back({milliseconds(200), ScriptAction::Withdraw, {"s-3"}, 0});
     }
