--- a/include/stonebay/load_balancer.hpp
+++ b/include/stonebay/load_balancer.hpp
@@ -132,7 +132,7 @@
   Duration overloadWindow{};    ///< see `overloadFactor`
   /// DiscoveryMode::Poll: longest time without a poll or a watch; 0 means no limit.
   Duration maxPollInterval{};
-  Duration timeStep{};         ///< resolution of the caller's clock
+  Duration clockResolution{};  ///< resolution of the caller's clock
   double initialCapacity = 1;  ///< capacity of an endpoint that has just started, as a share of a warm one's
   /// A warming endpoint fails if it receives more than this multiple of its capacity over `overloadWindow`.
   double overloadFactor = 1;
--- a/src/app/discovery_source.cpp
+++ b/src/app/discovery_source.cpp
@@ -12,7 +12,7 @@
 // The type of discovery cannot change while the process runs. Logs a warning and returns false if the new
 // configuration has another type.
 bool checkTypeUnchanged(const Config& config, DiscoveryType current) {
-  if (config.source == current) return true;
+  if (config.discoveryType == current) return true;
   logEvent(LogLevel::Warning, "settings_need_restart", {{"key", "[discovery] source"}});
   return false;
 }
@@ -60,7 +60,7 @@
 
 EndpointTrackerPolicy trackerPolicy(const Config& config) {
   EndpointTrackerPolicy policy;
-  if (config.source != DiscoveryType::DnsSd) {
+  if (config.discoveryType != DiscoveryType::DnsSd) {
     policy.damping.enabled = false;
     return policy;
   }
@@ -75,7 +75,7 @@
 
 std::unique_ptr<DiscoverySource> openDiscoverySource(event_base* base, const Clock& clock, EndpointFeed& feed,
                                                      const Config& config) {
-  switch (config.source) {
+  switch (config.discoveryType) {
     case DiscoveryType::Fixed:
       return std::make_unique<FixedSource>();
     case DiscoveryType::DnsSd:
--- a/src/app/members.cpp
+++ b/src/app/members.cpp
@@ -176,7 +176,7 @@
   ListRecorder recorder(base.get());
   EndpointFeed feed(base.get(), clock, recorder, trackerPolicy(config));
   const std::unique_ptr<DiscoverySource> source = openDiscoverySource(base.get(), clock, feed, config);
-  if (config.source == DiscoveryType::Fixed) {
+  if (config.discoveryType == DiscoveryType::Fixed) {
     feed.onSnapshot(config.initialEndpoints.instances, true);
   } else {
     source->watch(0);
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -36,7 +36,8 @@
   Dispatcher dispatcher(base.get(), config);
   ConnectionPool upstream(base.get(), dispatcher, config);
   EndpointFeed feed(base.get(), dispatcher.clock(), dispatcher, trackerPolicy(config));
-  if (config.source == DiscoveryType::Registry) feed.assumePublished(config.initialEndpoints.instances);
+  if (config.discoveryType == DiscoveryType::Registry)
+    feed.assumePublished(config.initialEndpoints.instances);
   const std::unique_ptr<DiscoverySource> source =
       openDiscoverySource(base.get(), dispatcher.clock(), feed, config);
   ClientListener clients(base.get(), dispatcher, config);
--- a/src/balancer/core.cpp
+++ b/src/balancer/core.cpp
@@ -252,7 +252,7 @@
 void LoadBalancer::Core::scheduleTick() {
   if (tickScheduled_) return;
   tickScheduled_ = true;
-  const Duration interval = std::max(context_.settings.timeStep, balancer::kTickInterval);
+  const Duration interval = std::max(context_.settings.clockResolution, balancer::kTickInterval);
   context_.sink.scheduleTimer(interval, {TimerKind::Tick, 0});
 }
 
--- a/src/balancer/health_checker.cpp
+++ b/src/balancer/health_checker.cpp
@@ -50,7 +50,7 @@
 
 Duration HealthChecker::waitLimit(const PendingRequest& pending) const {
   const Duration objective = context_.classOf(pending).latencyObjective;
-  return std::max(context_.settings.timeStep, objective / kHealthCheckWaitDivisor);
+  return std::max(context_.settings.clockResolution, objective / kHealthCheckWaitDivisor);
 }
 
 void HealthChecker::recordAnswer(Endpoint& endpoint) const {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -67,7 +67,7 @@
   Duration connectTimeout{};
   Duration idleTimeout{};       ///< time after which endpoints close idle connections
   bool tracksSessions = false;  ///< whether any request class needs read-your-writes consistency
-  DiscoveryType source = DiscoveryType::Registry;
+  DiscoveryType discoveryType = DiscoveryType::Registry;
   DnsSdSettings dnssd;  ///< for DiscoveryType::DnsSd
   std::vector<GroupName> groups;
   LogFormat logFormat = LogFormat::Logfmt;
--- a/src/config/discovery_keys.cpp
+++ b/src/config/discovery_keys.cpp
@@ -11,7 +11,7 @@
 
 std::vector<SettingKey> discoveryKeys() {
   return {
-      {"source", oneOf(kDiscoveryTypes), "registry", assign(&Config::source, kDiscoveryTypes),
+      {"source", oneOf(kDiscoveryTypes), "registry", assign(&Config::discoveryType, kDiscoveryTypes),
        "Where the list comes from: the HTTP registry, DNS-SD service records, or only the `[member]` "
        "sections of this file."},
       {"registry", ValueKind::Address, "", assign(&Config::discovery),
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -101,7 +101,7 @@
     else if (!draft_.endpointGroup.empty())
       reader_.addKeyError(section, "group", unknownGroup(draft_.endpointGroup));
     for (const Instance& other : config_.initialEndpoints.instances)
-      if (!endpoint.address.none() && other.address == endpoint.address)
+      if (!endpoint.address.isUnset() && other.address == endpoint.address)
         reader_.addKeyError(
             section, "address",
             {"[member " + other.name + "] already has this address", "give each member its own address"});
@@ -126,9 +126,9 @@
   }
 
   void checkDiscovery() {
-    switch (config_.source) {
+    switch (config_.discoveryType) {
       case DiscoveryType::Registry:
-        if (config_.discovery.none())
+        if (config_.discovery.isUnset())
           reader_.addError(lineOfSection("discovery"), "[discovery] registry",
                            {"it is required with source = registry",
                             "set the address of the registry, or use source = fixed"});
@@ -186,10 +186,10 @@
   void deriveSettings() {
     Settings& settings = config_.settings;
     settings.cancellationAllowed = true;
-    settings.timeStep = kTimeStep;
+    settings.clockResolution = kTimeStep;
     settings.discovery =
-        config_.source == DiscoveryType::Registry ? DiscoveryMode::Poll : DiscoveryMode::Push;
-    if (config_.source != DiscoveryType::Registry) settings.maxPollInterval = Duration(0);
+        config_.discoveryType == DiscoveryType::Registry ? DiscoveryMode::Poll : DiscoveryMode::Push;
+    if (config_.discoveryType != DiscoveryType::Registry) settings.maxPollInterval = Duration(0);
     if (settings.reports == LoadReports::None) {
       settings.reportFields.clear();
       config_.reportNames.clear();
@@ -198,7 +198,7 @@
         settings.classes.begin(), settings.classes.end(),
         [](const ClassSettings& each) { return each.consistency == Consistency::ReadYourWrites; });
     if (config_.seed == 0) config_.seed = randomSeed();
-    config_.initialEndpoints.reset = true;
+    config_.initialEndpoints.isComplete = true;
     deriveLimits(config_, static_cast<std::size_t>(draft_.descriptors), draft_.memory);
   }
 
--- a/src/config/json_config.cpp
+++ b/src/config/json_config.cpp
@@ -155,7 +155,7 @@
   }
   // allowed.retryAfter applies only to the simulator's clients. Clients on sockets always accept Retry-After.
   config.settings.retryAfterAllowed = true;
-  config.settings.gossipAllowed = config.settings.gossipAllowed && !config.gossipListen.none();
+  config.settings.gossipAllowed = config.settings.gossipAllowed && !config.gossipListen.isUnset();
 }
 
 // Reads the names of classes, zones and report values, which the load balancer knows only by index.
@@ -211,7 +211,7 @@
   config.seed = readSeed(root);
   readLimits(root, config);
   if (initialEndpoints == InitialEndpoints::Read)
-    config.initialEndpoints = readInstances(jsonField<element>(root, "known", ""), "known.");
+    config.initialEndpoints = readEndpointList(jsonField<element>(root, "known", ""), "known.");
   const auto settings = jsonField<element>(root, "settings", "");
   readLoadBalancerSettings(settings, config);
   readNames(settings, config);
--- a/src/discovery/address.cpp
+++ b/src/discovery/address.cpp
@@ -51,32 +51,32 @@
   return address;
 }
 
-std::uint16_t Address::port() const { return ntohs(v6() ? v6_.sin6_port : v4_.sin_port); }
+std::uint16_t Address::port() const { return ntohs(isV6() ? v6_.sin6_port : v4_.sin_port); }
 
 std::string Address::text() const {
-  if (none()) return {};
+  if (isUnset()) return {};
   char buffer[INET6_ADDRSTRLEN];
   const void* const bytes =
-      v6() ? static_cast<const void*>(&v6_.sin6_addr) : static_cast<const void*>(&v4_.sin_addr);
+      isV6() ? static_cast<const void*>(&v6_.sin6_addr) : static_cast<const void*>(&v4_.sin_addr);
   inet_ntop(any_.sa_family, bytes, buffer, sizeof buffer);
   const std::string host(buffer);
-  return (v6() ? "[" + host + "]" : host) + ":" + std::to_string(port());
+  return (isV6() ? "[" + host + "]" : host) + ":" + std::to_string(port());
 }
 
 std::size_t Address::Hash::operator()(const Address& address) const {
-  if (address.none()) return 0;
-  const void* const bytes = address.v6() ? static_cast<const void*>(&address.v6_.sin6_addr)
-                                         : static_cast<const void*>(&address.v4_.sin_addr);
-  const std::size_t size = address.v6() ? sizeof address.v6_.sin6_addr : sizeof address.v4_.sin_addr;
+  if (address.isUnset()) return 0;
+  const void* const bytes = address.isV6() ? static_cast<const void*>(&address.v6_.sin6_addr)
+                                           : static_cast<const void*>(&address.v4_.sin_addr);
+  const std::size_t size = address.isV6() ? sizeof address.v6_.sin6_addr : sizeof address.v4_.sin_addr;
   const std::string_view host(static_cast<const char*>(bytes), size);
   return std::hash<std::string_view>()(host) * 31 + address.port();
 }
 
 bool operator==(const Address& left, const Address& right) {
   if (left.any_.sa_family != right.any_.sa_family) return false;
-  if (left.none()) return true;
+  if (left.isUnset()) return true;
   if (left.port() != right.port()) return false;
-  if (!left.v6()) return left.v4_.sin_addr.s_addr == right.v4_.sin_addr.s_addr;
+  if (!left.isV6()) return left.v4_.sin_addr.s_addr == right.v4_.sin_addr.s_addr;
   return std::memcmp(&left.v6_.sin6_addr, &right.v6_.sin6_addr, sizeof left.v6_.sin6_addr) == 0;
 }
 
--- a/src/discovery/address.hpp
+++ b/src/discovery/address.hpp
@@ -11,10 +11,10 @@
 
 namespace stonebay {
 
-/// An IPv4 or IPv6 address with a port, or no address (see none()). A value type that is cheap to copy.
+/// An IPv4 or IPv6 address with a port, or no address (see isUnset()). A value type that is cheap to copy.
 class Address {
  public:
-  /// Creates an object without an address, for which none() is true.
+  /// Creates an object without an address, for which isUnset() is true.
   Address() = default;
   /// Parses text such as "10.1.0.18:5432" or "[fe80::1]:5432". Returns std::nullopt if the text is malformed.
   static std::optional<Address> parse(std::string_view text);
@@ -25,12 +25,12 @@
   static Address fromSocket(const sockaddr* from);
 
   /// Returns true if there is no address.
-  bool none() const { return any_.sa_family == 0; }
-  bool v6() const { return any_.sa_family == AF_INET6; }
+  bool isUnset() const { return any_.sa_family == 0; }
+  bool isV6() const { return any_.sa_family == AF_INET6; }
   std::uint16_t port() const;
   /// Returns the address in the form that bind, connect and sendto take, together with size().
   const sockaddr* data() const { return &any_; }
-  socklen_t size() const { return v6() ? sizeof v6_ : sizeof v4_; }
+  socklen_t size() const { return isV6() ? sizeof v6_ : sizeof v4_; }
   /// Returns the form that parse() accepts, or an empty string if there is no address.
   std::string text() const;
 
--- a/src/discovery/endpoint_feed.cpp
+++ b/src/discovery/endpoint_feed.cpp
@@ -47,8 +47,9 @@
 }
 
 void EndpointFeed::onEndpointList(EndpointListUpdate list) {
-  logEvent(LogLevel::Info, "list_received",
-           {{"generation", list.generation}, {"complete", list.reset}, {"members", list.instances.size()}});
+  logEvent(
+      LogLevel::Info, "list_received",
+      {{"generation", list.generation}, {"complete", list.isComplete}, {"members", list.instances.size()}});
   tracker_.onChange(clock_.now(), std::move(list));
   publishUpdates();
 }
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -93,12 +93,12 @@
   return *address;
 }
 
-EndpointListUpdate readInstances(const element& object, const std::string& path) {
+EndpointListUpdate readEndpointList(const element& object, const std::string& path) {
   const auto generation = jsonField<std::int64_t>(object, "generation", path);
   if (generation < 0) throw InvalidInput("key " + path + "generation: negative");
   EndpointListUpdate list;
   list.generation = static_cast<std::uint64_t>(generation);
-  list.reset = jsonField<bool>(object, "reset", path);
+  list.isComplete = jsonField<bool>(object, "reset", path);
   const std::string array = path + "instances";
   for (const element instance : jsonField<simdjson::dom::array>(object, "instances", path))
     list.instances.push_back(readInstance(instance, {array, list.instances.size()}));
@@ -110,7 +110,7 @@
   element object;
   if (const auto error = parser.parse(simdjson::padded_string(json)).get(object))
     throw InvalidInput(std::string("list: ") + simdjson::error_message(error));
-  return readInstances(object, "");
+  return readEndpointList(object, "");
 }
 
 void EndpointListReader::feed(std::string_view bytes, const std::function<void(EndpointListUpdate)>& onList) {
@@ -169,7 +169,7 @@
 }
 
 void EndpointListReader::finishList(const std::function<void(EndpointListUpdate)>& onList) {
-  EndpointListUpdate list = readInstances(parse(listJson_), "");
+  EndpointListUpdate list = readEndpointList(parse(listJson_), "");
   list.instances = std::move(instances_);
   listJson_.clear();
   instances_.clear();
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -36,7 +36,7 @@
 /// A complete endpoint list, or the changes to one.
 struct EndpointListUpdate {
   std::uint64_t generation = 0;
-  bool reset = false;  ///< the list is complete: instances that are not in it have been removed
+  bool isComplete = false;  ///< the list is complete: instances that are not in it have been removed
   std::vector<Instance> instances;
 };
 
--- a/src/discovery/endpoint_tracker.cpp
+++ b/src/discovery/endpoint_tracker.cpp
@@ -118,7 +118,7 @@
   sourceHasGenerations_ = true;
   onSourceDelivered(now);
   generation_ = list.generation;
-  std::vector<Instance> changes = list.reset ? findChanges(list) : std::move(list.instances);
+  std::vector<Instance> changes = list.isComplete ? findChanges(list) : std::move(list.instances);
   for (const Instance& instance : changes) applyChange(now, instance);
   queueUpdates(std::move(changes));
 }
@@ -207,7 +207,7 @@
   EndpointListUpdate update;
   for (const auto& [name, entry] : entries) publish(*name, *entry, now, update.instances);
   if (update.instances.empty() && !completeUpdateDue_) return std::nullopt;
-  update.reset = completeUpdateDue_;
+  update.isComplete = completeUpdateDue_;
   completeUpdateDue_ = false;
   update.generation = ++generation_;
   return update;
--- a/src/discovery/json.hpp
+++ b/src/discovery/json.hpp
@@ -33,6 +33,6 @@
 
 /// Parses the endpoint list in `object`. `path` is the prefix of the key names in error messages. Throws
 /// InvalidInput.
-EndpointListUpdate readInstances(const simdjson::dom::element& object, const std::string& path);
+EndpointListUpdate readEndpointList(const simdjson::dom::element& object, const std::string& path);
 
 }  // namespace stonebay
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -271,7 +271,7 @@
 // The first list is the one from the configuration; see start().
 EndpointListKind Dispatcher::listKind(const EndpointListUpdate& list) const {
   if (!ids_.anyAssigned() && generation_ == 0) return EndpointListKind::Cached;
-  return list.reset ? EndpointListKind::Full : EndpointListKind::Delta;
+  return list.isComplete ? EndpointListKind::Full : EndpointListKind::Delta;
 }
 
 // Endpoints that are missing from a complete list get no new requests.
--- a/src/dispatch/endpoint_pool.hpp
+++ b/src/dispatch/endpoint_pool.hpp
@@ -19,7 +19,7 @@
   /// Adds or changes an endpoint. An endpoint that is not `ready` gets no new requests. An empty `address`
   /// leaves the address unchanged.
   virtual void updateEndpoint(EndpointId id, const Address& address, bool ready) = 0;
-  /// Starts an attempt, which times out at `until`.
+  /// Starts an attempt, which times out at `until`, the deadline of the request.
   virtual void send(RequestId id, int attempt, EndpointId endpoint, TimePoint until,
                     std::shared_ptr<const ForwardedRequest> request) = 0;
   /// Answers Dispatcher::onConnected. If `eligible` is false the attempt must no longer be sent.
--- a/src/gossip/gossip_socket.cpp
+++ b/src/gossip/gossip_socket.cpp
@@ -40,7 +40,7 @@
 
 GossipSocket::GossipSocket(event_base* base, Dispatcher& dispatcher, const Config& config)
     : dispatcher_(dispatcher), config_(config), peers_(config.gossipPeers.begin(), config.gossipPeers.end()) {
-  if (config.gossipListen.none()) return;
+  if (config.gossipListen.isUnset()) return;
   fd_ = openSocket(config.gossipListen);
   const auto onReadable = [](evutil_socket_t, short, void* self) {
     static_cast<GossipSocket*>(self)->onReadable();
--- a/src/simulator/settings_parser.cpp
+++ b/src/simulator/settings_parser.cpp
@@ -126,7 +126,7 @@
   settings.overloadWindow = text.time("obligations.fallUs");
   if (settings.discovery == DiscoveryMode::Poll)
     settings.maxPollInterval = text.time("obligations.mustAskInUs");
-  settings.timeStep = text.time("stepUs");
+  settings.clockResolution = text.time("stepUs");
 }
 
 void readCapacityAndGoals(const SettingsText& text, Settings& settings) {
--- a/src/upstream/pg/connection_pool.cpp
+++ b/src/upstream/pg/connection_pool.cpp
@@ -37,7 +37,7 @@
 // ---- endpoints -------------------------------------------------------------------------------------------
 void ConnectionPool::updateEndpoint(EndpointId id, const Address& address, bool ready) {
   EndpointConnections& endpoint = connections_.at(id);
-  const bool addressChanged = !address.none() && address != endpoint.address;
+  const bool addressChanged = !address.isUnset() && address != endpoint.address;
   if (addressChanged) endpoint.address = address;
   endpoint.ready = ready;
   if (addressChanged || !ready) connections_.closeIdle(id);
--- a/testbed/discovery_stand_in.cpp
+++ b/testbed/discovery_stand_in.cpp
@@ -36,7 +36,7 @@
            "\nname_servers = 127.0.0.1:" + std::to_string(server_.port()) + "\n";
   }
   std::uint64_t queryCount() const override { return server_.counts().udp + server_.counts().tcp; }
-  void setNameServerMood(NameServer::Behavior behavior) override { server_.setBehavior(behavior); }
+  void setNameServerBehavior(NameServer::Behavior behavior) override { server_.setBehavior(behavior); }
 
  private:
   // Endpoints that are missing from the list are reported as not listed.
--- a/testbed/discovery_stand_in.hpp
+++ b/testbed/discovery_stand_in.hpp
@@ -32,7 +32,7 @@
   /// Number of DNS queries received so far; 0 for a registry.
   virtual std::uint64_t queryCount() const { return 0; }
   /// Sets how the name server behaves. Does nothing for a registry.
-  virtual void setNameServerMood(NameServer::Behavior /*behavior*/) {}
+  virtual void setNameServerBehavior(NameServer::Behavior /*behavior*/) {}
   /// Does nothing for a name server.
   virtual void setRegistryDown(bool /*down*/) {}
   /// Ends the watches and drops the history of changes, so that new watches get a complete list. Does nothing
--- a/testbed/endpoint_connection.cpp
+++ b/testbed/endpoint_connection.cpp
@@ -154,7 +154,7 @@
   execute(workOf(*requestClass, query_.id), now);
 }
 
-std::uint64_t EndpointConnection::recordAttempt(Time now, Time timeTold) const {
+std::uint64_t EndpointConnection::recordAttempt(Time now, Time remainingTime) const {
   AttemptRecord attempt;
   attempt.at = now;
   attempt.proxy = proxy_;
@@ -165,7 +165,7 @@
   attempt.isRead = !query_.requestClass->isWrite;
   attempt.dataAge = now - endpoint_.position(now);
   attempt.maxStaleness = query_.requestClass->maxStaleness;
-  attempt.timeTold = timeTold;
+  attempt.remainingTime = remainingTime;
   return environment_.audit.onAttempt(std::move(attempt));
 }
 
--- a/testbed/endpoint_connection.hpp
+++ b/testbed/endpoint_connection.hpp
@@ -44,7 +44,7 @@
   void onQuery(const std::string& statement);
   void onHealthCheck(Time now);
   void onRequest(const std::string& statement, Time now);
-  std::uint64_t recordAttempt(Time now, Time timeTold) const;
+  std::uint64_t recordAttempt(Time now, Time remainingTime) const;
   void execute(double work, Time now);
   void onWorkDone();
   void complete();
--- a/testbed/script_runner.cpp
+++ b/testbed/script_runner.cpp
@@ -147,7 +147,7 @@
   NameServer::Behavior behavior{};
   if (!NameServer::findBehavior(step.arguments[0], behavior))
     fail(step, "unknown name server behavior '" + step.arguments[0] + "'");
-  for (const auto& proxy : proxies_) proxy->discovery().setNameServerMood(behavior);
+  for (const auto& proxy : proxies_) proxy->discovery().setNameServerBehavior(behavior);
 }
 
 void ScriptRunner::setRegistryState(const ScriptStep& step) {
--- a/tests/address_test.cpp
+++ b/tests/address_test.cpp
@@ -13,7 +13,7 @@
     EXPECT_EQ(address->text(), text);
     EXPECT_EQ(Address::fromSocket(address->data()), *address) << text;
   }
-  EXPECT_TRUE(Address().none());
+  EXPECT_TRUE(Address().isUnset());
   EXPECT_EQ(Address().text(), "");
 }
 
@@ -27,7 +27,7 @@
 TEST(Address, ConvertsTheBytesOfAnAddressRecord) {
   EXPECT_EQ(Address::fromBytes(std::string("\x0a\x01\x00\x12", 4), 5432), *Address::parse("10.1.0.18:5432"));
   EXPECT_EQ(Address::fromBytes(std::string(15, '\0') + "\1", 5432), *Address::parse("[::1]:5432"));
-  EXPECT_TRUE(Address::fromBytes("abc", 5432).none());
+  EXPECT_TRUE(Address::fromBytes("abc", 5432).isUnset());
 }
 
 TEST(Address, DiffersByHostPortAndFamily) {
--- a/tests/balancer_fixture.cpp
+++ b/tests/balancer_fixture.cpp
@@ -56,7 +56,7 @@
   settings.initialCapacity = 0.2;
   settings.drainGracePeriod = 500ms;
   settings.maxPollInterval = 10s;
-  settings.timeStep = 5ms;
+  settings.clockResolution = 5ms;
   return settings;
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -78,7 +78,7 @@
   EXPECT_EQ(ini.overloadWindow, json.overloadWindow);
   EXPECT_EQ(ini.maxPollInterval, json.maxPollInterval);
   EXPECT_EQ(ini.maxRetryAfter, json.maxRetryAfter);
-  EXPECT_EQ(ini.timeStep, json.timeStep);
+  EXPECT_EQ(ini.clockResolution, json.clockResolution);
   EXPECT_EQ(ini.initialCapacity, json.initialCapacity);
   EXPECT_EQ(ini.overloadFactor, json.overloadFactor);
   EXPECT_EQ(ini.totalServedGoalWeight, json.totalServedGoalWeight);
--- a/tests/dnssd_client_test.cpp
+++ b/tests/dnssd_client_test.cpp
@@ -53,7 +53,7 @@
   }
   void onEndpointList(EndpointListUpdate list) override {
     ++listCount;
-    if (list.reset) instances.clear();
+    if (list.isComplete) instances.clear();
     for (const Instance& instance : list.instances)
       if (instance.state == Lifecycle::Removed)
         instances.erase(instance.name);
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -16,7 +16,7 @@
       R"({"instanceId":"s-2","lifecycle":"left"}]})";
   const EndpointListUpdate list = parseEndpointList(text);
   EXPECT_EQ(list.generation, 43u);
-  EXPECT_FALSE(list.reset);
+  EXPECT_FALSE(list.isComplete);
   ASSERT_EQ(list.instances.size(), 2u);
   EXPECT_EQ(list.instances[0].group, 3u);
   EXPECT_EQ(list.instances[0].state, Lifecycle::Draining);
--- a/tests/endpoint_tracker_test.cpp
+++ b/tests/endpoint_tracker_test.cpp
@@ -42,7 +42,7 @@
   tracker.onSnapshot(kStart, {makeInstance("s-1", 1), makeInstance("s-2", 2)});
   const auto initial = tracker.takeUpdate(kStart);
   ASSERT_TRUE(initial);
-  EXPECT_TRUE(initial->reset);
+  EXPECT_TRUE(initial->isComplete);
   EXPECT_EQ(initial->instances.size(), 2u);
   EXPECT_EQ(initial->instances[0].startedMs, 0);  // instances of the initial list started long ago
   EXPECT_FALSE(tracker.takeUpdate(kStart));
@@ -53,7 +53,7 @@
   tracker.onSnapshot(kStart + seconds(2), {draining, makeInstance("s-3", 3)});
   const auto change = tracker.takeUpdate(kStart + seconds(2));
   ASSERT_TRUE(change);
-  EXPECT_FALSE(change->reset);
+  EXPECT_FALSE(change->isComplete);
   EXPECT_GT(change->generation, initial->generation);
   EXPECT_EQ(change->instances.size(), 3u);
 }
@@ -222,7 +222,7 @@
   EXPECT_EQ(update->instances[0].name, "s-3");
   EXPECT_EQ(update->instances[0].state, Lifecycle::Removed);
   EXPECT_EQ(update->instances[1].name, "s-2");
-  EXPECT_FALSE(update->reset);
+  EXPECT_FALSE(update->isComplete);
   EXPECT_FALSE(tracker.hasMoreUpdates());
 }
 
@@ -302,7 +302,7 @@
       else
         tracker.onSnapshot(now, snapshot, random(20) == 0);
       while (const auto list = tracker.takeUpdate(now)) {
-        if (list->reset) published.clear();
+        if (list->isComplete) published.clear();
         for (const Instance& instance : list->instances) {
           if (instance.state == Lifecycle::Removed)
             ASSERT_EQ(published.erase(instance.name), 1u) << "seed " << seed;
