--- a/include/stonebay/load_balancer.hpp
+++ b/include/stonebay/load_balancer.hpp
@@ -64,7 +64,7 @@
 /// Whether endpoint lists name the primary (EndpointUpdate::primary), and how current that is.
 enum class ListedRole {
   Never,    ///< lists do not name the primary
-  AtStart,  ///< the role that the endpoint had when it started
+  AtStart,  ///< the role at the start of the installation's run; not updated when the role moves
   Delayed   ///< the current role, with a delay
 };
 /// How endpoint lists arrive.
@@ -183,7 +183,7 @@
   Ok,             ///< the endpoint executed the request
   Error,          ///< the endpoint answered with an error
   Rejected,       ///< the endpoint declined the request unexecuted: it is full, draining or about to stop
-  Timeout,        ///< there was no response by the time limit of the attempt
+  Timeout,        ///< there was no response by the deadline of the request
   ConnectFailed,  ///< the connection could not be established
   Reset,          ///< the connection was closed before the response was complete
   Cancelled,      ///< the attempt was cancelled
@@ -234,7 +234,7 @@
 /// Identifies a timer; the embedding program passes it to LoadBalancer::onTimer() when the timer expires.
 struct TimerToken {
   TimerKind kind = TimerKind::Tick;
-  std::uint64_t id = 0;  ///< Poll: sequence number of the poll; Wake: id of the request; less than 2^56
+  std::uint64_t id = 0;  ///< Poll: sequence number of the timer; Wake: id of the request; less than 2^56
 
   /// The token as one number, for an embedding program whose timers carry a number.
   std::uint64_t encoded() const { return id << 8 | static_cast<std::uint64_t>(kind); }
@@ -258,8 +258,8 @@
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
-  /// Sends an attempt. It times out at `until`; 0 means that it ends only when the client leaves. The end of
-  /// the attempt must be reported to LoadBalancer::onAttemptOutcome().
+  /// Sends an attempt, which times out at `until`, the deadline of the request. Its end must be reported to
+  /// LoadBalancer::onAttemptOutcome().
   virtual void send(RequestId request, EndpointId endpoint, TimePoint until) = 0;
   /// Gives the client its final response: the request was rejected and may safely be sent again. `retryAfter`
   /// is how long the client should wait before it does so; 0 means that the response does not say.
--- a/src/balancer/consistency.hpp
+++ b/src/balancer/consistency.hpp
@@ -29,8 +29,8 @@
 
   /// Returns the probability that the endpoint's data is new enough (the staleness factor of the paper that
   /// replica_selection.hpp describes): 1 if its known position proves it, otherwise the share of its recent
-  /// position samples that were new enough. Returns std::nullopt if there is no proof and the endpoint would
-  /// answer from old data, so that the read must not be sent there.
+  /// position samples that were new enough, or 0.5 without samples. Returns std::nullopt if there is no proof
+  /// and the endpoint would answer from old data, so that the read must not be sent there.
   std::optional<double> freshnessProbability(const Endpoint& endpoint, TimePoint required) const;
   /// Returns the smallest ClassSettings::maxStaleness of all classes; 1 s if no class has one.
   Duration tightestStaleness() const { return tightestStaleness_; }
--- a/src/balancer/context.hpp
+++ b/src/balancer/context.hpp
@@ -29,7 +29,7 @@
     const std::vector<ReportField>& fields = settings.reportFields;
     return std::find(fields.begin(), fields.end(), ReportField::InFlight) != fields.end();
   }
-  /// Returns whether health checks are allowed and return a load report.
+  /// Returns whether health checks are allowed and there are load reports.
   bool canCheckHealth() const {
     return settings.healthChecksAllowed && settings.reports != LoadReports::None;
   }
--- a/src/balancer/latency_model.hpp
+++ b/src/balancer/latency_model.hpp
@@ -35,16 +35,16 @@
   /// Returns the time without a response after which an endpoint is suspected to have failed. It is the
   /// latency objective of the class until a latency has been observed.
   Duration silenceTimeout(int classIndex) const;
-  /// Returns whether an attempt is lost rather than queued: it exceeds the silence timeout, and an attempt
-  /// that was sent in the second half of its time in flight has been answered. Lost attempts do not count as
-  /// load.
+  /// Returns whether an attempt is lost rather than queued: it has been in flight for longer than the silence
+  /// timeout, and the endpoint has answered another attempt that was sent in the second half of that time.
+  /// Lost attempts do not count as load.
   bool isPresumedLost(const Endpoint& endpoint, const InFlightAttempt& attempt) const;
 
   /// Returns the number of requests in flight at an endpoint, divided by its capacity while it warms up. It
   /// is the number of this proxy's attempts, or the number for all proxies by the endpoint's last report if
   /// that is higher. The older a report, the closer the number is to the mean of the reports of the group, so
-  /// that not all proxies choose the same endpoint because of the same report. Without a report it is the
-  /// mean.
+  /// that not all proxies choose the same endpoint because of the same report. Without a report, the mean
+  /// takes its place.
   double loadOf(const Endpoint& endpoint) const;
   /// Returns whether there is no request at the endpoint, as far as is known.
   bool isIdle(const Endpoint& endpoint) const { return endpoint.inFlight.empty() && loadOf(endpoint) < 1; }
--- a/src/balancer/token_budget.hpp
+++ b/src/balancer/token_budget.hpp
@@ -1,11 +1,12 @@
-// A token budget that limits retries in proportion to requests.
+// A token budget that limits retries or hedged requests in proportion to requests.
 #pragma once
 
 #include <algorithm>
 
 namespace stonebay::balancer {
 
-/// Each request deposits a fraction of a token, and each retry takes a whole one. Tokens beyond one decay.
+/// Each request deposits a fraction of a token, and each retry or hedged request takes a whole one. Tokens
+/// beyond one decay.
 class TokenBudget {
  public:
   explicit TokenBudget(double initial) : tokens_(initial) {}
--- a/src/config/ini_config.cpp
+++ b/src/config/ini_config.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::int64_t kMaxGroupId = 65535;
-constexpr Duration kTimeStep = std::chrono::milliseconds(5);
+constexpr Duration kClockResolution = std::chrono::milliseconds(5);
 
 ValueError unknownGroup(const std::string& text) {
   return {"'" + text + "' is neither a [group] nor a number up to " + std::to_string(kMaxGroupId),
@@ -186,7 +186,7 @@
   void deriveSettings() {
     Settings& settings = config_.settings;
     settings.cancellationAllowed = true;
-    settings.clockResolution = kTimeStep;
+    settings.clockResolution = kClockResolution;
     settings.discovery =
         config_.discoveryType == DiscoveryType::Registry ? DiscoveryMode::Poll : DiscoveryMode::Push;
     if (config_.discoveryType != DiscoveryType::Registry) settings.maxPollInterval = Duration(0);
--- a/src/discovery/endpoint_list.hpp
+++ b/src/discovery/endpoint_list.hpp
@@ -40,8 +40,7 @@
   std::vector<Instance> instances;
 };
 
-/// Receives the endpoint list from a discovery source: first a complete list, then changes. Also receives the
-/// failures of the source.
+/// Receives complete endpoint lists and changes from a discovery source, and the failures of the source.
 class EndpointListHandler {
  public:
   virtual ~EndpointListHandler() = default;
--- a/src/dispatch/position.hpp
+++ b/src/dispatch/position.hpp
@@ -1,5 +1,5 @@
-// Converts replication positions between Unix time, as sent on the sockets, and time relative to an epoch, as
-// used by the LoadBalancer.
+// Converts positions, which endpoints send as Unix times, to the forms that the LoadBalancer takes: seconds
+// after an epoch in load reports, instants elsewhere.
 #pragma once
 
 #include <cstdint>
--- a/src/dispatch/response_handler.hpp
+++ b/src/dispatch/response_handler.hpp
@@ -14,9 +14,10 @@
  public:
   virtual ~ResponseHandler() = default;
   virtual void onResponse(Buffer response) = 0;
-  /// The request may be repeated without harm. A `retryAfter` of 0 gives no advice on when.
+  /// The request was rejected and may safely be sent again. A `retryAfter` of 0 means that the response does
+  /// not say when.
   virtual void onRejected(Duration retryAfter) = 0;
-  /// The request may have run.
+  /// The request failed and may have been executed.
   virtual void onFailed() = 0;
   /// Returns whether the client has closed its connection, even if this process has not yet read the end of
   /// the input.
--- a/src/dispatch/wall_clock_correction.hpp
+++ b/src/dispatch/wall_clock_correction.hpp
@@ -12,8 +12,9 @@
 /// been wrong by seconds or by an hour.
 ///
 /// No endpoint can have applied commits of the future, so a single position ahead of this process's time
-/// shows that this process is behind. The position of a primary is close to the present, so if the positions
-/// of all primaries are far behind for several seconds, this process is ahead.
+/// shows that this process is behind. The position of a primary is close to the present, so this process is
+/// ahead if the positions of all primaries are far behind for several seconds, or if a single one is so far
+/// behind that no delay of a report explains it.
 class WallClockCorrection {
  public:
   /// Positions that differ from this process's time by more than this are errors of their endpoints and are
--- a/testbed/client_connection.hpp
+++ b/testbed/client_connection.hpp
@@ -15,7 +15,8 @@
 
 namespace stonebay::testbed {
 
-/// One attempt of a client's request.
+/// One attempt of a client: a request, or the retry of a rejected one. To the proxy each is a request of its
+/// own, with its own id.
 struct ClientRequest {
   std::string id;  ///< of this attempt
   std::string statement;
--- a/testbed/discovery_stand_in.hpp
+++ b/testbed/discovery_stand_in.hpp
@@ -41,7 +41,7 @@
   /// A registry sends the changes between these two calls as one update. They do nothing for a name server.
   virtual void beginChanges() {}
   virtual void endChanges() {}
-  /// Bytes of instance lists sent so far; 0 for a name server.
+  /// Bytes of endpoint lists sent so far; 0 for a name server.
   virtual double listBytes() const { return 0; }
 };
 
--- a/testbed/faulty_proxy.hpp
+++ b/testbed/faulty_proxy.hpp
@@ -21,7 +21,7 @@
   WrongValue,     ///< answers with a value that no endpoint returned
   StaleRead,      ///< sends reads to replicas regardless of their replication lag
   Overload,       ///< sends all reads to the endpoint that was listed last
-  RepeatedWrite,  ///< sends each write again after its idempotency key has expired
+  RepeatedWrite,  ///< sends each write again after its deduplication window
   ExtraResponse   ///< answers twice
 };
 
--- a/testbed/proxy_under_test.cpp
+++ b/testbed/proxy_under_test.cpp
@@ -69,7 +69,7 @@
   process_.sendSignal(SIGTERM);
 }
 
-void ProxyUnderTest::addCrowd(int clients) {
+void ProxyUnderTest::addIdleClients(int clients) {
   const sockaddr_in target = loopbackAddress(port_);
   for (; clients > 0; --clients) {
     idleClients_.emplace_back(bufferevent_socket_new(context_.eventBase(), -1, BEV_OPT_CLOSE_ON_FREE));
--- a/testbed/proxy_under_test.hpp
+++ b/testbed/proxy_under_test.hpp
@@ -35,7 +35,7 @@
   /// Sends SIGKILL and waits until the process has ended.
   void kill();
   /// Opens this number of client connections, which send no requests.
-  void addCrowd(int clients);
+  void addIdleClients(int clients);
   /// Sets the offset, in milliseconds, that is added to the wall clock of its process.
   void setClockOffset(const std::string& milliseconds) const;
   /// Whether a process has ever reported that it listens.
--- a/testbed/registry_server.hpp
+++ b/testbed/registry_server.hpp
@@ -1,5 +1,5 @@
-// A stand-in HTTP registry. Serves the complete list of instances or a watch on its changes, as described in
-// the platform's pages.
+// A stand-in HTTP registry. Serves the complete endpoint list or a watch on its changes, as described in the
+// platform's pages.
 #pragma once
 
 #include <cstdint>
@@ -40,7 +40,7 @@
   /// Changes between these two calls are sent as one update.
   void beginChanges() { isBatchingChanges_ = true; }
   void endChanges();
-  /// Bytes of instance lists sent so far.
+  /// Bytes of endpoint lists sent so far.
   std::uint64_t listBytes() const { return listBytes_; }
 
  private:
--- a/testbed/script_runner.cpp
+++ b/testbed/script_runner.cpp
@@ -41,7 +41,7 @@
       {ScriptAction::NameServers, &ScriptRunner::setNameServerBehavior},
       {ScriptAction::Registry, &ScriptRunner::setRegistryState},
       {ScriptAction::Rate, &ScriptRunner::setRate},
-      {ScriptAction::Crowd, &ScriptRunner::addCrowd},
+      {ScriptAction::Crowd, &ScriptRunner::addIdleClients},
       {ScriptAction::Clock, &ScriptRunner::setClock},
       {ScriptAction::Proxy, &ScriptRunner::controlProxy},
       {ScriptAction::Primary, &ScriptRunner::injectPrimaryFault}};
@@ -165,8 +165,8 @@
   for (const auto& proxy : proxies_) proxy->clients().setRate(ratePerProxy);
 }
 
-void ScriptRunner::addCrowd(const ScriptStep& step) {
-  for (const auto& proxy : proxies_) proxy->addCrowd(std::atoi(step.arguments[0].c_str()));
+void ScriptRunner::addIdleClients(const ScriptStep& step) {
+  for (const auto& proxy : proxies_) proxy->addIdleClients(std::atoi(step.arguments[0].c_str()));
 }
 
 void ScriptRunner::setClock(const ScriptStep& step) {
--- a/testbed/script_runner.hpp
+++ b/testbed/script_runner.hpp
@@ -67,7 +67,7 @@
   void setNameServerBehavior(const ScriptStep& step);
   void setRegistryState(const ScriptStep& step);
   void setRate(const ScriptStep& step);
-  void addCrowd(const ScriptStep& step);
+  void addIdleClients(const ScriptStep& step);
   void setClock(const ScriptStep& step);
   void controlProxy(const ScriptStep& step);
   void injectPrimaryFault(const ScriptStep& step);
